--- a/libs/cli/vanillayoke/cli/management/commands/explain.py
+++ b/libs/cli/vanillayoke/cli/management/commands/explain.py
@@ -10,7 +10,7 @@
 from vanillayoke.cli import operators
 from vanillayoke.cli import queries
 from vanillayoke.cli import tables
-from vanillayoke.core import stories
+from vanillayoke.core import request_logs
 
 ARGUMENTS = lookups.ARGUMENTS
 _WEIGHED = ('target', 'cost', 'cached', 'reason')
@@ -44,13 +44,13 @@
     for path in sorted(folder.iterdir()):
         if path.is_file():
             text = path.read_text(errors='replace')
-            lines += stories.read_lines(text.splitlines())
+            lines += request_logs.parse_lines(text.splitlines())
     [wanted] = invocation.arguments
-    story = stories.select_story(lines, wanted)
+    story = request_logs.select_lines(lines, wanted)
     if not story:
         invocation.warn(f'No line in {folder} names {wanted}.')
         return exits.Exit.FAILED
-    for text in stories.format_story(story):
+    for text in request_logs.format_lines(story):
         invocation.print(text)
     return exits.Exit.OK
 
--- a/libs/core/vanillayoke/core/lines.py
+++ b/libs/core/vanillayoke/core/lines.py
@@ -15,10 +15,10 @@
 
 # Lines of one kind in a second. A busy instance ends some hundred requests a
 # second; at 300 bytes a line this is 60 kB/s at the most.
-USUAL_SHARE = 200
-WARNING_SHARE = 400
+MAX_LINES_PER_SECOND = 200
+MAX_WARNING_LINES_PER_SECOND = 400
 # Bytes that wait for a slow reader before lines are dropped.
-MOST_PENDING = 256 * 1024
+MAX_PENDING_BYTES = 256 * 1024
 _SECOND = 1.0
 
 
@@ -50,7 +50,11 @@
         self._turn_second()
         name = message['message_type']
         is_warning = message['number'] in _WARNINGS
-        share = WARNING_SHARE if is_warning else USUAL_SHARE
+        share = (
+            MAX_WARNING_LINES_PER_SECOND
+            if is_warning
+            else MAX_LINES_PER_SECOND
+        )
         count = self._counts.get(name, 0)
         self._counts[name] = count + 1
         if count >= share:
@@ -74,7 +78,7 @@
 
     def _put(self, message: dict[str, typing.Any]) -> None:
         line = self._encode(message) + b'\n'
-        if len(self._pending) + len(line) > MOST_PENDING:
+        if len(self._pending) + len(line) > MAX_PENDING_BYTES:
             self.dropped += 1
             return
         self._pending += line
--- a/libs/core/vanillayoke/core/logs.py
+++ b/libs/core/vanillayoke/core/logs.py
@@ -7,7 +7,7 @@
 from vanillayoke.core import timeline
 from vanillayoke.core import timers
 
-LONGEST_TEXT = 200
+MAX_TEXT_LENGTH = 200
 
 _FIELD_SETS = {
     event.number: frozenset(event.fields) for event in events.list_events()
@@ -95,8 +95,8 @@
         if fields.keys() != _FIELD_SETS[event.number]:
             raise TypeError(_describe_mismatch(event, fields))
         for name, value in fields.items():
-            if isinstance(value, str) and len(value) > LONGEST_TEXT:
-                fields[name] = f'{value[:LONGEST_TEXT]}...'
+            if isinstance(value, str) and len(value) > MAX_TEXT_LENGTH:
+                fields[name] = f'{value[:MAX_TEXT_LENGTH]}...'
         time = self.timeline.add(event, fields)
         output = self._output
         if output is not None and event.level >= output.level:
--- a/libs/core/vanillayoke/core/metrics.py
+++ b/libs/core/vanillayoke/core/metrics.py
@@ -12,7 +12,7 @@
 
 OTHER = 'other'
 MAX_LABEL_VALUES = 500
-LONGEST_LABEL_VALUE = 64
+MAX_LABEL_VALUE_LENGTH = 64
 _PREFIX = 'vanillayoke_'
 # aioprometheus writes label values as they are, while the text format wants
 # these escaped: a client's name with a quote would make the whole page
@@ -84,7 +84,7 @@
             return value
         if name not in self._open:
             return OTHER
-        safe = value.translate(_UNSAFE)[:LONGEST_LABEL_VALUE]
+        safe = value.translate(_UNSAFE)[:MAX_LABEL_VALUE_LENGTH]
         if safe in known:
             return safe
         if len(known) >= MAX_LABEL_VALUES:
--- a/libs/core/vanillayoke/core/stories.py
+++ b/libs/core/vanillayoke/core/request_logs.py
@@ -13,8 +13,8 @@
 
 # How long before and behind a line of the request something else may have
 # to do with it. Callers wait a few seconds. Seconds.
-BEFORE = 5.0
-BEHIND = 1.0
+CONTEXT_BEFORE_SECONDS = 5.0
+CONTEXT_AFTER_SECONDS = 1.0
 _CONTEXT = frozenset(
     (
         'process_started',
@@ -29,7 +29,7 @@
 _BY_NAME = {event.name: event for event in events.list_events()}
 
 
-class Line(typing.NamedTuple):
+class LogLine(typing.NamedTuple):
     """One line of a log."""
 
     time: float
@@ -38,7 +38,7 @@
     fields: dict[str, typing.Any]
 
 
-def read_lines(texts: typing.Iterable[str]) -> list[Line]:
+def parse_lines(texts: typing.Iterable[str]) -> list[LogLine]:
     """Return the lines that can be read, whatever stands before the JSON."""
     found = []
     for text in texts:
@@ -53,11 +53,13 @@
         if isinstance(name, str):
             time = float(fields.get('timestamp', 0.0))
             instance = str(fields.get('instance', '?'))
-            found.append(Line(time, instance, name, fields))
+            found.append(LogLine(time, instance, name, fields))
     return found
 
 
-def select_story(lines: typing.Sequence[Line], wanted: str) -> list[Line]:
+def select_lines(
+    lines: typing.Sequence[LogLine], wanted: str
+) -> list[LogLine]:
     """Return the lines of a request or program with what lies around."""
     requests = {
         line.fields.get('request') for line in lines if _names(line, wanted)
@@ -81,14 +83,18 @@
         span = spans.get(line.instance)
         if span is None or id(line) in taken:
             continue
-        if not span[0] - BEFORE <= line.time <= span[1] + BEHIND:
+        if (
+            not span[0] - CONTEXT_BEFORE_SECONDS
+            <= line.time
+            <= span[1] + CONTEXT_AFTER_SECONDS
+        ):
             continue
         if _is_context(line, targets):
             story.append(line)
     return sorted(story, key=lambda line: line.time)
 
 
-def format_story(story: typing.Sequence[Line]) -> list[str]:
+def format_lines(story: typing.Sequence[LogLine]) -> list[str]:
     """Return a line of text for each line of the story."""
     if not story:
         return []
@@ -99,11 +105,11 @@
     ]
 
 
-def _names(line: Line, wanted: str) -> bool:
+def _names(line: LogLine, wanted: str) -> bool:
     return wanted in (line.fields.get('request'), line.fields.get('program'))
 
 
-def _is_context(line: Line, targets: typing.Container[str]) -> bool:
+def _is_context(line: LogLine, targets: typing.Container[str]) -> bool:
     if line.name in _CONTEXT:
         return True
     if line.name in ('target_sick', 'server_changed', 'server_expired'):
@@ -113,7 +119,7 @@
     return False
 
 
-def _describe(line: Line) -> str:
+def _describe(line: LogLine) -> str:
     event = _BY_NAME.get(line.name)
     if event is None:
         return line.name
--- a/libs/gateway/vanillayoke/gateway/histories.py
+++ b/libs/gateway/vanillayoke/gateway/histories.py
@@ -173,7 +173,7 @@
         Reads may lag behind what is committed; a transaction that expects
         the row to be absent does not, and shows the row if it is there.
         """
-        end = transcripts.get_key_end(turn)
+        end = transcripts.get_range_end(turn)
         page = await self._store.read(TABLE, part, patience, turn, end)
         stored = _decode(turn, page.rows)
         if stored is not None:
@@ -202,8 +202,8 @@
 ) -> transcripts.StoredTurn | None:
     rows = {row.where.key: row.value for row in found}
     try:
-        return transcripts.read_rows(turn, rows)
-    except transcripts.BrokenTurnError as error:
+        return transcripts.decode_rows(turn, rows)
+    except transcripts.CorruptTurnError as error:
         raise store_module.StoreSilentError(str(error)) from error
 
 
--- a/libs/gateway/vanillayoke/gateway/sweeping.py
+++ b/libs/gateway/vanillayoke/gateway/sweeping.py
@@ -110,7 +110,7 @@
 
 
 _TABLES = (
-    (histories.TABLE, transcripts.read_time),
+    (histories.TABLE, transcripts.decode_time),
     (ledger.TABLE, read_budget_time),
     (limit_accounts.TABLE, limit_accounts.read_time),
 )
--- a/libs/node/vanillayoke/node/caches.py
+++ b/libs/node/vanillayoke/node/caches.py
@@ -67,7 +67,7 @@
         program = self._programs.find(session)
         if program is None or not program.is_active:
             self.release(target, session)
-        elif target not in program.held:
+        elif target not in program.cache_targets:
             self._programs.write(caches.hold_cache(program, target, epoch))
             self._scheduler.hold(target, session)
 
--- a/libs/node/vanillayoke/node/children.py
+++ b/libs/node/vanillayoke/node/children.py
@@ -102,7 +102,7 @@
         above = (program, *hosted.list_ancestors(program))
         decided = opening.open_program(
             hosted.find(opened.program),
-            opening.fit_child(opened, above),
+            opening.clamp_child(opened, above),
             above,
             self._parts.clock.wall(),
         )
--- a/libs/node/vanillayoke/node/compaction.py
+++ b/libs/node/vanillayoke/node/compaction.py
@@ -152,5 +152,5 @@
         _BYTES_PER_PROGRAM
         + _BYTES_PER_CALL * len(program.calls)
         + _BYTES_PER_CHARACTER * program.text_length
-        + sum(map(len, program.held))
+        + sum(map(len, program.cache_targets))
     )
--- a/libs/node/vanillayoke/node/host.py
+++ b/libs/node/vanillayoke/node/host.py
@@ -133,7 +133,7 @@
             return _make_draining()
         above = opening.list_ancestors(hosted.known, opened.parent)
         if above:
-            opened = opening.fit_child(opened, above)
+            opened = opening.clamp_child(opened, above)
         decided = opening.open_program(
             hosted.find(opened.program),
             opened,
--- a/libs/node/vanillayoke/node/hosted.py
+++ b/libs/node/vanillayoke/node/hosted.py
@@ -90,7 +90,9 @@
         kept = {
             one.root
             for one in self._programs.values()
-            if one.is_active or one.held or one.ended_at >= ended_before
+            if one.is_active
+            or one.cache_targets
+            or one.ended_at >= ended_before
         }
         gone = [
             one.id for one in self._programs.values() if one.root not in kept
--- a/libs/node/vanillayoke/node/ownership.py
+++ b/libs/node/vanillayoke/node/ownership.py
@@ -156,7 +156,7 @@
 
     def _keeps(self, program: programs.Program) -> bool:
         """Tell whether a program's history must stay in the store."""
-        if program.is_active or program.held:
+        if program.is_active or program.cache_targets:
             return True
         return self._timers.wall() - program.ended_at < self._retention
 
--- a/libs/node/vanillayoke/node/recovery.py
+++ b/libs/node/vanillayoke/node/recovery.py
@@ -38,7 +38,7 @@
 
     def _remember_caches(self, program: programs.Program) -> None:
         """Let the scheduler free, in time, what the last owner held."""
-        for target in program.held:
+        for target in program.cache_targets:
             self._scheduler.hold(target, program.id)
         if not program.is_active:
             self._parts.dispatcher.end(program.id)
--- a/libs/node/vanillayoke/node/results.py
+++ b/libs/node/vanillayoke/node/results.py
@@ -51,12 +51,12 @@
     """Return how a call or run that has ended ended."""
     end = program.run_ends.get(first.run) if first.run else None
     if end is not None:
-        return failures.Failure(calls.read_kind(end.error), end.reason)
+        return failures.Failure(calls.parse_kind(end.error), end.reason)
     steps = list_steps(program, first)
     last = steps[-1]
     if last.message is None:
         return failures.Failure(
-            calls.read_kind(last.error), last.reason, last.retry_after
+            calls.parse_kind(last.error), last.reason, last.retry_after
         )
     return host.FinalAnswer(
         offset=len(read_text(program, first)),
--- a/libs/node/vanillayoke/node/runs.py
+++ b/libs/node/vanillayoke/node/runs.py
@@ -86,7 +86,7 @@
         match accepted:
             case failures.Failure():
                 return accepted
-            case decisions.Repeat(number=number):
+            case decisions.DuplicateCall(number=number):
                 return self.join(program, number)
         return self._drive_soon(program, accepted).stream
 
@@ -101,7 +101,7 @@
         durable, so of that one "not run" is not said.
         """
         known = program.find_key(proposal.key)
-        is_new = known is None or decisions.may_begin_again(program, known)
+        is_new = known is None or decisions.may_restart(program, known)
         if proposal.idempotent or not is_new:
             return None
         if self._store_policy is not services.StorePolicy.REFUSE:
@@ -175,7 +175,7 @@
         program: programs.Program,
         proposal: checks.CallProposal,
         epoch: int,
-    ) -> program_calls.Call | decisions.Repeat | failures.Failure:
+    ) -> program_calls.Call | decisions.DuplicateCall | failures.Failure:
         decided = decisions.accept_call(
             program,
             self._parts.programs.list_ancestors(program),
--- a/libs/programs/vanillayoke/programs/caches.py
+++ b/libs/programs/vanillayoke/programs/caches.py
@@ -12,7 +12,7 @@
     An intended model call records that by itself; this is for a cache that
     comes by another way, such as an import.
     """
-    if target in program.held:
+    if target in program.cache_targets:
         return []
     return [records.CacheHeld(program.id, epoch, target=target)]
 
@@ -27,6 +27,6 @@
     """
     running = program.running
     is_in_use = running is not None and running.target == target
-    if target not in program.held or is_in_use:
+    if target not in program.cache_targets or is_in_use:
         return []
     return [records.CacheReleased(program.id, epoch, target=target)]
--- a/libs/programs/vanillayoke/programs/calls.py
+++ b/libs/programs/vanillayoke/programs/calls.py
@@ -129,7 +129,7 @@
         return ()
 
 
-def read_kind(error: str) -> failures.Kind:
+def parse_kind(error: str) -> failures.Kind:
     """Return the kind of a recorded error.
 
     While instances are replaced one by one, an older one reads records of
--- a/libs/programs/vanillayoke/programs/checks.py
+++ b/libs/programs/vanillayoke/programs/checks.py
@@ -123,10 +123,12 @@
         return failures.Failure(
             failures.Kind.BAD_REQUEST, 'the run has ended or never began'
         )
-    return failures.Failure(calls.read_kind(end.error), end.reason)
+    return failures.Failure(calls.parse_kind(end.error), end.reason)
 
 
-def repeats_unknown(program: programs.Program, request: CallProposal) -> bool:
+def repeats_unknown_outcome(
+    program: programs.Program, request: CallProposal
+) -> bool:
     """Tell whether a model asks again for what may have been done.
 
     An instance dies while an order is on its way; the model reads that the
--- a/libs/programs/vanillayoke/programs/decisions.py
+++ b/libs/programs/vanillayoke/programs/decisions.py
@@ -21,7 +21,7 @@
 )
 
 
-class Repeat(typing.NamedTuple):
+class DuplicateCall(typing.NamedTuple):
     """The key is that of an accepted call: give its answer or join it."""
 
     number: int
@@ -33,7 +33,7 @@
     request: checks.CallProposal,
     epoch: int,
     now_wall: float,
-) -> list[records.AnyRecord] | Repeat | failures.Failure:
+) -> list[records.AnyRecord] | DuplicateCall | failures.Failure:
     """Decide on a new call of a program.
 
     ``ancestors`` are the program's, the parent first and the root last.
@@ -46,8 +46,8 @@
         return failures.Failure(
             failures.Kind.KEY_REUSED, f'call {known.number} has this key'
         )
-    if known is not None and not may_begin_again(program, known):
-        return Repeat(known.number)
+    if known is not None and not may_restart(program, known):
+        return DuplicateCall(known.number)
     if known is not None:
         # Its question is in the history already.
         request = request._replace(messages=())
@@ -56,7 +56,7 @@
         or checks.check_state(program, ancestors, now_wall)
         or checks.check_order(program, request)
     )
-    if failure is None and checks.repeats_unknown(program, request):
+    if failure is None and checks.repeats_unknown_outcome(program, request):
         return _refuse_repeat(program, request, epoch, now_wall)
     failure = failure or checks.check_budget(
         program, ancestors, request.reserved
@@ -68,7 +68,7 @@
     return [accepted, *draw_budget(ancestors, key, accepted.reserved, epoch)]
 
 
-def may_begin_again(program: programs.Program, known: calls.Call) -> bool:
+def may_restart(program: programs.Program, known: calls.Call) -> bool:
     """Tell whether a repeated key starts anew where its call failed.
 
     A caller told "overloaded, come back in five seconds" comes back with
@@ -84,7 +84,7 @@
     is_same = last is known or (known.run and last.run == known.run)
     if not is_same or not last.error or known.run in program.run_ends:
         return False
-    answer = failures.ANSWERS[calls.read_kind(last.error)]
+    answer = failures.ANSWERS[calls.parse_kind(last.error)]
     harmless = last.idempotent or answer.ran is failures.Ran.NO
     return answer.may_retry and harmless
 
@@ -93,7 +93,7 @@
     program: programs.Program,
     known: calls.Call | None,
     failure: failures.Failure,
-) -> Repeat | failures.Failure:
+) -> DuplicateCall | failures.Failure:
     """Return what a refused request is told.
 
     A repeated key of a call that may have run, idempotent though it is,
@@ -102,10 +102,10 @@
     """
     if known is None:
         return failure
-    kind = calls.read_kind(program.calls[-1].error)
+    kind = calls.parse_kind(program.calls[-1].error)
     if failures.ANSWERS[kind].ran is failures.Ran.NO:
         return failure
-    return Repeat(known.number)
+    return DuplicateCall(known.number)
 
 
 def _refuse_repeat(
--- a/libs/programs/vanillayoke/programs/endings.py
+++ b/libs/programs/vanillayoke/programs/endings.py
@@ -92,7 +92,7 @@
 
 
 def end_tree(
-    known: typing.Mapping[str, programs.Program],
+    programs_by_id: typing.Mapping[str, programs.Program],
     program: programs.Program,
     reason: str,
     epoch: int,
@@ -100,11 +100,11 @@
 ) -> list[records.AnyRecord]:
     """End a program and its sub-agents, those farthest down first.
 
-    ``known`` maps ids to at least all programs of the same root.
+    ``programs_by_id`` holds at least all programs of the same root.
     """
     family = []
-    for one in known.values():
-        above = opening.list_ancestors(known, one.parent)
+    for one in programs_by_id.values():
+        above = opening.list_ancestors(programs_by_id, one.parent)
         if one is program or program in above:
             family.append((one, above))
     family.sort(key=_count_ancestors, reverse=True)
--- a/libs/programs/vanillayoke/programs/loops.py
+++ b/libs/programs/vanillayoke/programs/loops.py
@@ -7,7 +7,7 @@
 from vanillayoke.programs import program as programs
 from vanillayoke.programs import records
 
-LONGEST_CYCLE = 4
+MAX_CYCLE_LENGTH = 4
 
 
 class RunawayLimits(typing.NamedTuple):
@@ -15,13 +15,13 @@
 
     A cycle of steps may not come ``repeats`` times in a row. At most
     ``fraction`` of any budgeted resource may go in ``window`` seconds;
-    fewer than ``least_calls`` calls are never too fast.
+    fewer than ``min_calls`` calls are never too fast.
     """
 
     repeats: int = 8
     window: float = 60.0
     fraction: float = 0.5
-    least_calls: int = 20
+    min_calls: int = 20
 
 
 class _Step(typing.NamedTuple):
@@ -36,7 +36,7 @@
     program: programs.Program, limits: RunawayLimits, now_wall: float
 ) -> str | None:
     """Return why the open run should be stopped, ``None`` to go on."""
-    return find_loop(program, limits.repeats) or find_burn(
+    return find_loop(program, limits.repeats) or find_fast_spending(
         program, limits, now_wall
     )
 
@@ -45,12 +45,12 @@
     """Return which steps of the open run repeat themselves.
 
     Tool calls count with their arguments and results, model answers with
-    their text and tool requests. A cycle of up to ``LONGEST_CYCLE`` steps
+    their text and tool requests. A cycle of up to ``MAX_CYCLE_LENGTH`` steps
     is seen as well, such as two tools that undo each other.
     """
     for kind in (records.CallKind.TOOL, records.CallKind.MODEL):
-        steps = _list_steps(program, kind, repeats * LONGEST_CYCLE)
-        for length in range(1, LONGEST_CYCLE + 1):
+        steps = _list_steps(program, kind, repeats * MAX_CYCLE_LENGTH)
+        for length in range(1, MAX_CYCLE_LENGTH + 1):
             if _is_cycle(steps, length, repeats):
                 return (
                     f'the last {length} {kind.value} step(s) came '
@@ -92,12 +92,12 @@
     )
 
 
-def find_burn(
+def find_fast_spending(
     program: programs.Program, limits: RunawayLimits, now_wall: float
 ) -> str | None:
     """Return which resource goes too fast to last to the end."""
     recent = _list_recent(program, now_wall - limits.window)
-    if len(recent) < limits.least_calls:
+    if len(recent) < limits.min_calls:
         return None
     used = records.Spend()
     for call in recent:
--- a/libs/programs/vanillayoke/programs/opening.py
+++ b/libs/programs/vanillayoke/programs/opening.py
@@ -12,21 +12,21 @@
 
 
 def list_ancestors(
-    known: typing.Mapping[str, programs.Program], parent: str
+    programs_by_id: typing.Mapping[str, programs.Program], parent: str
 ) -> tuple[programs.Program, ...]:
     """Return a program and those above it, the root last.
 
-    ``known`` maps ids to the programs of the shard, which holds a whole
+    ``programs_by_id`` holds the programs of the shard, which holds a whole
     tree. An empty ``parent`` gives none.
     """
     found = []
-    while parent in known:
-        found.append(known[parent])
-        parent = known[parent].parent
+    while parent in programs_by_id:
+        found.append(programs_by_id[parent])
+        parent = programs_by_id[parent].parent
     return tuple(found)
 
 
-def fit_child(
+def clamp_child(
     opened: records.ProgramOpened,
     ancestors: typing.Sequence[programs.Program],
 ) -> records.ProgramOpened:
@@ -115,7 +115,7 @@
         return failures.Failure(
             failures.Kind.PROGRAM_ENDED, 'an ancestor has ended'
         )
-    if fit_child(opened, ancestors) != opened:
+    if clamp_child(opened, ancestors) != opened:
         return failures.Failure(
             failures.Kind.BAD_REQUEST,
             "the budget or deadline is beyond an ancestor's",
--- a/libs/programs/vanillayoke/programs/program.py
+++ b/libs/programs/vanillayoke/programs/program.py
@@ -32,7 +32,7 @@
 
     The first fields are those of ``ProgramOpened``; ``epoch`` is the
     highest one seen and ``sequence`` counts the records that had an
-    effect. ``held`` names the targets that may hold engine memory.
+    effect. ``cache_targets`` names the targets that may hold engine memory.
     ``open_run`` is the key of the run that goes on, empty for none.
     """
 
@@ -56,7 +56,7 @@
     end_reason: str = ''
     ended_at: float = 0.0
     calls: list[call_types.Call] = dataclasses.field(default_factory=list)
-    held: set[str] = dataclasses.field(default_factory=set)
+    cache_targets: set[str] = dataclasses.field(default_factory=set)
     open_run: str = ''
     run_ends: dict[str, RunEnd] = dataclasses.field(default_factory=dict)
     conversation: conversations.Conversation = dataclasses.field(
@@ -194,7 +194,7 @@
         call.attempts = record.attempt
         call.target = record.target
         if call.kind is records.CallKind.MODEL:
-            self.held.add(record.target)
+            self.cache_targets.add(record.target)
         return True
 
     def _answer(self, record: records.CallAnswered) -> bool:
@@ -248,13 +248,13 @@
         return True
 
     def _hold(self, target: str) -> bool:
-        if target in self.held:
+        if target in self.cache_targets:
             return False
-        self.held.add(target)
+        self.cache_targets.add(target)
         return True
 
     def _release(self, target: str) -> bool:
-        if target not in self.held:
+        if target not in self.cache_targets:
             return False
-        self.held.remove(target)
+        self.cache_targets.remove(target)
         return True
--- a/libs/programs/vanillayoke/programs/replay.py
+++ b/libs/programs/vanillayoke/programs/replay.py
@@ -32,32 +32,32 @@
 
 
 def apply_record(
-    known: dict[str, programs.Program], record: records.AnyRecord
+    programs_by_id: dict[str, programs.Program], record: records.AnyRecord
 ) -> bool:
     """Apply a record to the program it names; return whether it counted.
 
     Programs are added by their opening or a snapshot.
     """
-    program = known.get(record.program)
+    program = programs_by_id.get(record.program)
     if isinstance(record, records.ProgramSnapshot):
-        return _apply_snapshot(known, program, record)
+        return _apply_snapshot(programs_by_id, program, record)
     if program is not None:
         return program.apply(record)
     if isinstance(record, records.ProgramOpened):
-        known[record.program] = programs.Program.from_opened(record)
+        programs_by_id[record.program] = programs.Program.from_opened(record)
         return True
     return False
 
 
 def _apply_snapshot(
-    known: dict[str, programs.Program],
+    programs_by_id: dict[str, programs.Program],
     program: programs.Program | None,
     record: records.ProgramSnapshot,
 ) -> bool:
     if program is not None and not _is_newer(program, record):
         program.epoch = max(program.epoch, record.epoch)
         return False
-    known[record.program] = snapshots.restore_snapshot(record)
+    programs_by_id[record.program] = snapshots.restore_snapshot(record)
     return True
 
 
--- a/libs/programs/vanillayoke/programs/snapshots.py
+++ b/libs/programs/vanillayoke/programs/snapshots.py
@@ -34,7 +34,7 @@
         end_reason=program.end_reason,
         ended_at=program.ended_at,
         calls=program.calls,
-        held=sorted(program.held),
+        held=sorted(program.cache_targets),
         open_run=program.open_run,
         run_ends=program.run_ends,
         committed=program.ledger.committed,
@@ -71,7 +71,7 @@
     program.state = state.state
     program.end_reason = state.end_reason
     program.ended_at = state.ended_at
-    program.held = set(state.held)
+    program.cache_targets = set(state.held)
     program.open_run = state.open_run
     program.run_ends = state.run_ends
     program.ledger = budget.Ledger(
--- a/libs/soak/vanillayoke/soak/callers.py
+++ b/libs/soak/vanillayoke/soak/callers.py
@@ -194,7 +194,7 @@
         headers = calls.make_headers(name, DEADLINE_MS)
         headers.append((b'Authorization', f'Bearer {line.key}'.encode()))
         # What a caller claims does not count.
-        headers += calls.make_fields(tenant=organisations.NAMES[0])
+        headers += calls.make_header_fields(tenant=organisations.NAMES[0])
         if kind == 'stream':
             headers += calls.make_turn_fields(
                 line.program,
--- a/libs/soak/vanillayoke/soak/demo.py
+++ b/libs/soak/vanillayoke/soak/demo.py
@@ -15,7 +15,7 @@
 import tempfile
 import typing
 
-from vanillayoke.core import stories
+from vanillayoke.core import request_logs
 from vanillayoke.gateway import homes_ranking
 from vanillayoke.programs import scopes
 from vanillayoke.soak import callers as callers_module
@@ -208,10 +208,10 @@
         """Print the program's story from the logs of all instances."""
         lines = []
         for path in sorted(self._folder.glob('i*.log')):
-            lines += stories.read_lines(path.read_text().splitlines())
-        for text in stories.format_story(stories.select_story(lines, PROGRAM))[
-            :STORY_LINES
-        ]:
+            lines += request_logs.parse_lines(path.read_text().splitlines())
+        for text in request_logs.format_lines(
+            request_logs.select_lines(lines, PROGRAM)
+        )[:STORY_LINES]:
             print(text)
 
 
--- a/libs/soak/vanillayoke/soak/servers.py
+++ b/libs/soak/vanillayoke/soak/servers.py
@@ -14,16 +14,16 @@
 _ORGANISATION = fields.ORGANISATION.lower()
 
 
-class RecordingTarget(targets.TargetStandin):
+class RecordingTarget(targets.FakeTarget):
     """A server that writes down what it works on."""
 
     def __init__(self, name: str, service: str, slots: int) -> None:
         super().__init__(name, slots)
         self._service = service
 
-    async def _work(
+    async def _execute(
         self,
-        run: targets.Run,
+        run: targets.Execution,
         fault: targets.Fault | None,
         responder: server.Responder,
     ) -> None:
@@ -41,10 +41,10 @@
             )
         )
         # What ran stays in the records; memory must not grow with the run.
-        self.runs.clear()
+        self.executions.clear()
         is_cut = True
         try:
-            await super()._work(run, fault, responder)
+            await super()._execute(run, fault, responder)
             is_cut = False
         finally:
             now = control.read_now()
@@ -58,7 +58,7 @@
 ) -> None:
     """Serve as one server until standard input is closed."""
     target = RecordingTarget(name, service, slots)
-    target.events = events
+    target.event_count = events
     host, _, port = address.rpartition(':')
     await target.listen(host, int(port))
     async for order in control.read_orders():
@@ -66,12 +66,12 @@
             case control.Fail(fault, times):
                 target.faults.extend([targets.Fault(fault)] * times)
             case control.Pace(gap):
-                target.gap = gap
+                target.event_interval = gap
 
 
 async def run_store(address: str) -> None:
     """Serve as the store until standard input is closed."""
-    store = store_module.StoreStandin()
+    store = store_module.FakeStore()
     host, _, port = address.rpartition(':')
     await store.listen(host, int(port))
     async for order in control.read_orders():
@@ -82,18 +82,18 @@
                     at = control.read_now()
                     control.write_record(_stamp(record, at))
             case control.Spoil(table, key):
-                store.spoil(table, key)
+                store.corrupt(table, key)
             case control.Store():
                 _change(store, order)
 
 
-def _change(store: store_module.StoreStandin, order: control.Store) -> None:
+def _change(store: store_module.FakeStore, order: control.Store) -> None:
     store.mode = store_module.Mode(order.mode)
-    store.delay = order.delay
+    store.response_delay = order.delay
     store.lost_replies += order.lost_replies
     store.late_writes += order.late_writes
     if order.forget:
-        store.forget_history()
+        store.discard_history()
 
 
 def _stamp(record: records.Record, at: float) -> records.Record:
--- a/tests/adapter/test_process.py
+++ b/tests/adapter/test_process.py
@@ -86,7 +86,7 @@
     case, folder, pipe
 ):
     reading, writing = pipe
-    store = store_module.StoreStandin()
+    store = store_module.FakeStore()
     await store.listen(HOST, STORE_PORT)
     store.put('op', 'config', calls.make_configuration(1, []))
     path = _write_settings(folder)
@@ -97,9 +97,9 @@
     case.assertEqual(200, status)
     case.assertIn(b'vanillayoke_store_calls_total', page)
     _spoil(path)
-    await asyncio.sleep(2 * process.WATCH_INTERVAL)
+    await asyncio.sleep(2 * process.SETTINGS_POLL_SECONDS)
     _write_settings(folder, zone='z2')
-    await asyncio.sleep(2 * process.WATCH_INTERVAL)
+    await asyncio.sleep(2 * process.SETTINGS_POLL_SECONDS)
     one.stop()
     async with asyncio.timeout(PATIENCE):
         await task
@@ -137,7 +137,7 @@
         loop = asyncio.get_running_loop()
         for number in stop_signals:
             loop.add_signal_handler(number, lambda: None)
-        process.ignore_stops()
+        process.ignore_stop_signals()
 
     asyncio.run(run())
     for number in stop_signals:
--- a/tests/core/test_lines.py
+++ b/tests/core/test_lines.py
@@ -44,11 +44,11 @@
     case.assertEqual(b'', pipe.data)
     pipe.is_full = False
     output.flush()
-    case.assertLessEqual(len(pipe.data), lines.MOST_PENDING)
+    case.assertLessEqual(len(pipe.data), lines.MAX_PENDING_BYTES)
 
 
 async def test_flood_of_one_kind_is_cut_with_a_count(case, loop, pipe, output):
-    for _ in range(lines.USUAL_SHARE + 50):
+    for _ in range(lines.MAX_LINES_PER_SECOND + 50):
         output.write(_make())
     await asyncio.sleep(1.1)
     output.write(_make())
@@ -57,7 +57,7 @@
         one for one in written if one['message_type'] == 'lines_left_out'
     ]
     case.assertEqual((50, 'request_ended'), (note['count'], note['of']))
-    case.assertEqual(lines.USUAL_SHARE + 2, len(written))
+    case.assertEqual(lines.MAX_LINES_PER_SECOND + 2, len(written))
 
 
 load_tests = fixtures.adapt(__name__)
--- a/tests/core/test_logs.py
+++ b/tests/core/test_logs.py
@@ -68,9 +68,9 @@
 def test_long_text_is_cut(case, logger, stream):
     logger.write(events.DRAIN_STARTED, reason='x' * 5000)
     [line] = _read_lines(stream)
-    case.assertEqual(logs.LONGEST_TEXT + 3, len(line['reason']))
+    case.assertEqual(logs.MAX_TEXT_LENGTH + 3, len(line['reason']))
     [event] = logger.timeline.dump()['events']
-    case.assertEqual(logs.LONGEST_TEXT + 3, len(event['fields']['reason']))
+    case.assertEqual(logs.MAX_TEXT_LENGTH + 3, len(event['fields']['reason']))
 
 
 def test_unknown_values_are_left_out(case, logger, stream):
--- a/tests/core/test_stories.py
+++ b/tests/core/test_request_logs.py
@@ -4,7 +4,7 @@
 import pathlib
 
 from vanillayoke.cli import main
-from vanillayoke.core import stories
+from vanillayoke.core import request_logs
 from vanillayoke.testing import fixtures
 
 RECORDED = pathlib.Path(__file__).parent / 'recorded'
@@ -16,7 +16,7 @@
 @fixtures.fixture
 def lines():
     text = (RECORDED / 'store_silent.jsonl').read_text()
-    return stories.read_lines(text.splitlines())
+    return request_logs.parse_lines(text.splitlines())
 
 
 def _run(*words):
@@ -27,7 +27,9 @@
 
 def test_walk_from_a_failed_program_to_the_cause(case, lines):
     """An operator has only the id of a program that failed by night."""
-    shown = stories.format_story(stories.select_story(lines, PROGRAM))
+    shown = request_logs.format_lines(
+        request_logs.select_lines(lines, PROGRAM)
+    )
     failed = [text for text in shown if 'request_failed' in text]
     case.assertIn('store_away', failed[-1])
     lost = next(n for n, text in enumerate(shown) if 'store_lost' in text)
@@ -37,7 +39,7 @@
 
 
 def test_other_programs_are_left_out(case, lines):
-    story = stories.select_story(lines, PROGRAM)
+    story = request_logs.select_lines(lines, PROGRAM)
     programs = {line.fields.get('program') for line in story} - {None}
     case.assertEqual({PROGRAM}, programs)
 
@@ -45,18 +47,20 @@
 def test_story_of_one_request(case, lines):
     failed = [
         line
-        for line in stories.select_story(lines, PROGRAM)
+        for line in request_logs.select_lines(lines, PROGRAM)
         if line.fields.get('outcome') == 'store_away'
     ]
     wanted = failed[0].fields['request']
-    story = stories.select_story(lines, wanted)
+    story = request_logs.select_lines(lines, wanted)
     requests = {line.fields.get('request') for line in story} - {None}
     case.assertEqual({wanted}, requests)
 
 
 def test_noise_between_lines_is_passed(case):
     text = ['', 'Traceback', '{"broken', '12.5 host {"message_type":"x"}']
-    case.assertEqual(['x'], [one.name for one in stories.read_lines(text)])
+    case.assertEqual(
+        ['x'], [one.name for one in request_logs.parse_lines(text)]
+    )
 
 
 def test_command_tells_the_story(case):
--- a/tests/gateway/site.py
+++ b/tests/gateway/site.py
@@ -52,8 +52,8 @@
         seed: int = 1,
     ) -> None:
         self.timers = timer_service
-        self.store = store_module.StoreStandin()
-        self.targets: dict[str, targets_module.TargetStandin] = {}
+        self.store = store_module.FakeStore()
+        self.targets: dict[str, targets_module.FakeTarget] = {}
         self.fronts: dict[str, front_module.Front] = {}
         self.loggers: dict[str, logs.Logger] = {}
         self._set_host = set_host
@@ -84,10 +84,10 @@
 
     async def add_target(
         self, name: str, host: str | None = None
-    ) -> targets_module.TargetStandin:
+    ) -> targets_module.FakeTarget:
         """Start a server and register it."""
-        target = targets_module.TargetStandin(name)
-        target.events = 4 if name.startswith('m') else 0
+        target = targets_module.FakeTarget(name)
+        target.event_count = 4 if name.startswith('m') else 0
         self.targets[name] = target
         host = host or f'10.8.0.{len(self.targets)}'
         await target.listen(host, TARGET_PORT)
@@ -154,7 +154,7 @@
         if key is not None:
             headers.append((b'Authorization', f'Bearer {key}'.encode()))
         headers += extra
-        headers += calls.make_fields(**more)
+        headers += calls.make_header_fields(**more)
         connection = kept or await client.Pool(1.0).open(address)
         try:
             target = f'/{route}/x'.encode()
@@ -207,12 +207,12 @@
             ),
         )
 
-    def list_runs(self, request: str) -> list[targets_module.Run]:
+    def list_runs(self, request: str) -> list[targets_module.Execution]:
         """Return the runs of a request at all servers."""
         return [
             run
             for target in self.targets.values()
-            for run in target.runs
+            for run in target.executions
             if run.request == request
         ]
 
--- a/tests/gateway/test_credit.py
+++ b/tests/gateway/test_credit.py
@@ -22,7 +22,7 @@
     return homes_ranking.find_home(program, members).instance
 
 
-async def _go_away(site, mode=store_module.Mode.RESET):
+async def _go_away(site, mode=store_module.Mode.RESET_CONNECTION):
     # One program before, as on any site that has been up for a while.
     for name in site.fronts:
         await site.turn(name, f'before-{name}', route='plan', program='old')
@@ -81,7 +81,7 @@
     """Each call takes a third of a second; the turn need not wait for it."""
     await site.start(3)
     await _go_away(site, store_module.Mode.SERVE)
-    site.store.delay = 0.35
+    site.store.response_delay = 0.35
     began = site.timers.now()
     answer = await _turn(site, 'i1', 1)
     case.assertEqual(200, answer.status)
@@ -158,7 +158,7 @@
     while site.store.lost_replies:
         case.assertFalse(task.done())
         await asyncio.sleep(0.001)
-    site.store.mode = store_module.Mode.RESET
+    site.store.mode = store_module.Mode.RESET_CONNECTION
     await task
     await asyncio.sleep(3.0)
     for n in range(number + 2, number + 10):
@@ -187,7 +187,7 @@
     home = _find_home(site, 'new')
     sites.kill(site, network, home)
     await asyncio.sleep(3.0)
-    site.store.mode = store_module.Mode.RESET
+    site.store.mode = store_module.Mode.RESET_CONNECTION
     await asyncio.sleep(1.0)
     other = next(iter(site.fronts))
     answer = await _turn(site, other, number + 1)
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -46,16 +46,16 @@
     _configure(site, 5, [*site_module.ROUTES])
     await asyncio.sleep(0.1)
     _configure(site, 4, [])
-    site.store.forget_history()
+    site.store.discard_history()
     await asyncio.sleep(3.0)
     case.assertEqual(200, (await site.call('i1', 'look')).status)
 
 
 async def test_dropped_history_is_read_anew(case, site):
     await site.start()
-    site.store.mode = store_module.Mode.MUTE
+    site.store.mode = store_module.Mode.UNRESPONSIVE
     _configure(site, 2, [calls.make_route('new', 'tools', 'safe')])
-    site.store.forget_history()
+    site.store.discard_history()
     site.store.mode = store_module.Mode.SERVE
     await asyncio.sleep(4.0)
     case.assertEqual(200, (await site.call('i1', 'new')).status)
@@ -78,7 +78,7 @@
     await asyncio.sleep(0.1)
     for _ in range(6):
         await site.call('i1', 'order')
-    case.assertEqual([], site.targets['t1'].runs)
+    case.assertEqual([], site.targets['t1'].executions)
 
 
 async def test_rows_of_another_writer_leave_the_others(case, site):
@@ -93,12 +93,12 @@
     await _add_foreign_rows(site, 't1')
     for _ in range(8):
         case.assertEqual(200, (await site.call('i1', 'order')).status)
-    case.assertEqual([], site.targets['t1'].runs)
+    case.assertEqual([], site.targets['t1'].executions)
     site.register('t1', '10.8.0.3:8080')
     site.register('t2', '10.8.0.4:8080', 'draining')
     await asyncio.sleep(0.1)
     case.assertEqual(200, (await site.call('i1', 'order')).status)
-    case.assertEqual(1, len(site.targets['t1'].runs))
+    case.assertEqual(1, len(site.targets['t1'].executions))
 
 
 async def test_spoiled_row_names_nobody_behind_an_outage_either(case, site):
@@ -108,15 +108,15 @@
     may come back within two seconds; this one has not lapsed.
     """
     await site.start(1)
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(4.0)
     site.store.put('servers', 't1', {'state': 'ready'})
-    site.store.forget_history()
+    site.store.discard_history()
     site.store.mode = store_module.Mode.SERVE
     await asyncio.sleep(0.6)
     for _ in range(8):
         case.assertEqual(200, (await site.call('i1', 'order')).status)
-    case.assertEqual([], site.targets['t1'].runs)
+    case.assertEqual([], site.targets['t1'].executions)
 
 
 async def test_instance_starts_beside_rows_of_another_writer(case, site):
@@ -136,7 +136,7 @@
         site.store.put('servers', f'x{number}', {**good, **change})
     site.store.put('servers', 'x8', {'service': 'tools'})
     site.store.put('servers', 'x9', 'no row')
-    site.store.spoil('servers', 'x10')
+    site.store.corrupt('servers', 'x10')
     site.store.put('servers', spoiled, {'state': 'ready'})
     await asyncio.sleep(0.1)
 
@@ -154,12 +154,12 @@
     for number in range(40):
         await site.call(f'i{number % 3 + 1}', 'order')
     site.targets['t1'].faults.clear()
-    site.targets['t1'].runs.clear()
+    site.targets['t1'].executions.clear()
     site.register('t1', '10.8.0.3:8080', born=2)
     await asyncio.sleep(0.1)
     calls_at_once = [site.call(f'i{n % 3 + 1}', 'order') for n in range(6)]
     await asyncio.gather(*calls_at_once)
-    case.assertGreaterEqual(len(site.targets['t1'].runs), 2)
+    case.assertGreaterEqual(len(site.targets['t1'].executions), 2)
     [line] = site.list_events('i1', 'server_restarted')
     case.assertEqual(2, line['started'])
 
@@ -201,7 +201,7 @@
     they go on getting work.
     """
     await site.start()
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(4.0)
     for name in site.targets:
         site.store.put('servers', name, None)
@@ -218,7 +218,7 @@
     await asyncio.sleep(0.1)
     for _ in range(6):
         await site.call('i1', 'order')
-    case.assertEqual([], site.targets['t1'].runs)
+    case.assertEqual([], site.targets['t1'].executions)
 
 
 async def test_resolve_names_the_live_instances(case, site):
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -32,7 +32,7 @@
         configure(site, 2, rate, burst)
         await asyncio.sleep(0.2)
         for target in site.targets.values():
-            target.work = 0.001
+            target.service_time = 0.001
         return site
 
     return start
@@ -78,9 +78,9 @@
 def find_most(site, window=WINDOW):
     """Return the most runs in any window, from what the targets saw."""
     times = sorted(
-        run.at
+        run.started_at
         for target in site.targets.values()
-        for run in target.runs
+        for run in target.executions
         if run.headers.get(b'x-vanillayoke-tenant') == b'red'
     )
     return max(
@@ -204,7 +204,7 @@
 
 async def test_limit_holds_while_the_store_is_away(case, shop):
     site = await shop()
-    site.store.mode = store_module.Mode.MUTE
+    site.store.mode = store_module.Mode.UNRESPONSIVE
     await asyncio.sleep(3.0)
     found = await send_all(site, 100, 0.1)
     case.assertLessEqual(find_most(site), LIMIT * 1.1)
@@ -265,7 +265,7 @@
 async def test_home_that_knows_nothing_waits_to_be_told(case, shop):
     """A new home can't read the row, and nobody has told it yet."""
     site = await shop()
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     home = site.fronts[rank_homes()[0]]
     answers = await _await_all(_ask(home, 8))
     admitted = sum(one.refused is None for one in answers)
@@ -280,7 +280,7 @@
     site = await shop()
     home = site.fronts[rank_homes()[0]]
     await _await_all(_ask(home))
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await _await_all(_ask(home))
     await asyncio.sleep(0.5)
     site.store.mode = store_module.Mode.SERVE
@@ -306,7 +306,7 @@
     configure(site, 3)
     await asyncio.sleep(WINDOW)
     for target in site.targets.values():
-        target.runs.clear()
+        target.executions.clear()
     await send_all(site, 50, 0.1)
     case.assertLessEqual(find_most(site), LIMIT * 1.1)
 
--- a/tests/gateway/test_limits_rolls.py
+++ b/tests/gateway/test_limits_rolls.py
@@ -72,7 +72,7 @@
         test_limits.configure(site, 2, RATE, BURST)
         await asyncio.sleep(0.2)
         for target in site.targets.values():
-            target.work = 0.001
+            target.service_time = 0.001
         return names
 
     return start
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -31,7 +31,9 @@
     for key in ('nobody', None):
         answer = await site.call('i1', 'look', key=key)
         case.assertEqual(401, answer.status)
-    case.assertFalse(any(target.runs for target in site.targets.values()))
+    case.assertFalse(
+        any(target.executions for target in site.targets.values())
+    )
 
 
 async def test_targets_get_the_organisation_and_not_the_key(case, shop):
@@ -143,7 +145,7 @@
     bounds = front.settings.bounds._replace(is_revocation_strict=True)
     front.settings = front.settings._replace(bounds=bounds)
     case.assertEqual(200, (await site.call('i1', 'look', key='red-1')).status)
-    site.store.mode = store_module.Mode.MUTE
+    site.store.mode = store_module.Mode.UNRESPONSIVE
     await asyncio.sleep(messages.Bounds(1, 1, 1, 1).revocation + 0.5)
     case.assertEqual(503, (await site.call('i1', 'look', key='red-1')).status)
     case.assertEqual(200, (await site.call('i2', 'look', key='red-1')).status)
--- a/tests/gateway/test_outages.py
+++ b/tests/gateway/test_outages.py
@@ -18,7 +18,7 @@
     instead of failing after a few refusals.
     """
     await site.start()
-    site.store.mode = store_module.Mode.RESET
+    site.store.mode = store_module.Mode.RESET_CONNECTION
     await asyncio.sleep(1.0)
     task = asyncio.ensure_future(
         site.turn('i1', 'a', route='plan', program='new')
@@ -36,7 +36,7 @@
     the time that it has.
     """
     await site.start()
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(40.0)
     for number in range(3):
         began = site.timers.now()
@@ -57,7 +57,7 @@
     """
     await site.start()
     await site.turn('i1', 'a')
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(4.0)
     tasks = [
         asyncio.ensure_future(
@@ -79,7 +79,7 @@
     has not run, and asks for no pause: the next try waits in its turn.
     """
     await site.start()
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(4.0)
     began = site.timers.now()
     answer = await site.turn('i1', 'a', program='new')
@@ -97,10 +97,10 @@
     """
     await site.start()
     for target in site.targets.values():
-        target.gap = 0.1
+        target.event_interval = 0.1
     task = asyncio.ensure_future(site.turn('i1', 'a'))
     await asyncio.sleep(0.2)
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(2.5)
     site.store.mode = store_module.Mode.SERVE
     answer = await task
@@ -119,12 +119,12 @@
     for number in range(6):
         await site.turn('i1', f'z{number}', program=f'q{number}')
     names = [parts.name_part(number) for number in range(parts.PART_COUNT)]
-    site.store.down = set(names[::3])
+    site.store.unavailable_partitions = set(names[::3])
     for number in range(60):
         turns = (f'a{number}', f'b{number}')
         if any(_is_nowhere(site, turn) for turn in turns):
             continue
-        if parts.find_part(f'p{number}') in site.store.down:
+        if parts.find_part(f'p{number}') in site.store.unavailable_partitions:
             # Its budget can't be granted meanwhile; see below.
             continue
         first = await site.turn(
@@ -157,7 +157,7 @@
     await site.start(3)
     for name in site.fronts:
         await site.turn(name, f'before-{name}', program='old')
-    site.store.down = {parts.find_part('new')}
+    site.store.unavailable_partitions = {parts.find_part('new')}
     answer = await site.turn('i1', 'a', program='new')
     case.assertEqual(503, answer.status)
     case.assertEqual([], site.list_runs('a'))
@@ -167,7 +167,7 @@
 
 def _is_nowhere(site, turn):
     """Return whether all places of a turn are down: one in 27 has to wait."""
-    return site.store.down.issuperset(
+    return site.store.unavailable_partitions.issuperset(
         parts.list_places(turn, histories.PLACES)
     )
 
@@ -180,12 +180,12 @@
     """
     await site.start()
     places = parts.list_places('a', histories.PLACES)
-    site.store.down = {places[0]}
+    site.store.unavailable_partitions = {places[0]}
     await site.turn('i1', 'a', b'one')
-    site.store.down = {places[1]}
+    site.store.unavailable_partitions = {places[1]}
     answer = await site.turn('i2', 'b', previous='a')
     case.assertEqual(503, answer.status)
-    site.store.down = set()
+    site.store.unavailable_partitions = set()
     answer = await site.turn('i2', 'c', previous='a')
     case.assertEqual(200, answer.status)
     answer = await site.turn('i2', 'd', previous='never')
@@ -199,7 +199,7 @@
     afterwards do, so none may wait for the old ones.
     """
     await site.start()
-    site.store.mode = store_module.Mode.MUTE
+    site.store.mode = store_module.Mode.UNRESPONSIVE
     await asyncio.sleep(5.0)
     site.store.mode = store_module.Mode.SERVE
     await asyncio.sleep(0.5)
@@ -210,7 +210,7 @@
 
 async def test_few_calls_go_to_a_store_that_is_away(case, site):
     await site.start()
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(1.0)
     site.store.calls.clear()
     await asyncio.sleep(4.0)
@@ -290,7 +290,7 @@
     Asking again before an answer can be there would only add to its load.
     """
     await site.start()
-    site.store.delay = 0.5
+    site.store.response_delay = 0.5
     site.store.calls.clear()
     answer = await site.turn('i1', 'a', program='new')
     case.assertEqual(200, answer.status)
--- a/tests/gateway/test_plain.py
+++ b/tests/gateway/test_plain.py
@@ -46,7 +46,7 @@
         for n in range(8)
     ]
     case.assertEqual({200}, {answer.status for answer in answers})
-    case.assertGreaterEqual(len(site.targets['t1'].runs), 1)
+    case.assertGreaterEqual(len(site.targets['t1'].executions), 1)
 
 
 async def test_second_answer_to_an_earlier_call_is_skipped(case, site):
@@ -63,7 +63,7 @@
 
 async def test_cut_answer_is_not_passed_on_as_whole(case, site):
     await site.start()
-    _spoil(site, targets.Fault.CUT_ANSWER, 3)
+    _spoil(site, targets.Fault.TRUNCATE_ANSWER, 3)
     answer = await site.call('i1', 'order', request='a')
     case.assertEqual(502, answer.status)
 
@@ -110,12 +110,12 @@
         await site.call('i1', 'order', request=f'a{n}') for n in range(4)
     ]
     case.assertEqual({200}, {answer.status for answer in answers})
-    case.assertEqual([], site.targets['t1'].runs)
+    case.assertEqual([], site.targets['t1'].executions)
 
 
 async def test_silent_server_does_not_hold_a_call_past_its_time(case, site):
     await site.start()
-    _spoil(site, targets.Fault.MUTE, 3)
+    _spoil(site, targets.Fault.UNRESPONSIVE, 3)
     began = site.timers.now()
     answer = await site.call('i1', 'order', request='a')
     case.assertEqual(504, answer.status)
@@ -131,7 +131,7 @@
     The caller is told soon enough to try again within its deadline.
     """
     await site.start()
-    _spoil(site, targets.Fault.MUTE, 1)
+    _spoil(site, targets.Fault.UNRESPONSIVE, 1)
     began = site.timers.now()
     answer = await site.call('i1', 'look', method=b'GET')
     case.assertEqual(502, answer.status)
@@ -141,7 +141,7 @@
 async def test_second_try_does_not_meet_the_same_silence(case, site):
     """One server of two says nothing; the caller tries again at once."""
     await site.start()
-    site.targets['t1'].faults.extend([targets.Fault.MUTE] * 20)
+    site.targets['t1'].faults.extend([targets.Fault.UNRESPONSIVE] * 20)
     statuses = []
     for _ in range(8):
         answer = await site.call('i1', 'look', method=b'GET')
@@ -162,7 +162,7 @@
     site.store.put('op', 'config', calls.make_configuration(2, [route]))
     await asyncio.sleep(0.1)
     for name in ('t1', 't2'):
-        site.targets[name].work = 2.0
+        site.targets[name].service_time = 2.0
     for _ in range(4):
         answer = await site.call('i1', 'brief', method=b'GET')
         case.assertEqual(504, answer.status)
--- a/tests/gateway/test_scouting.py
+++ b/tests/gateway/test_scouting.py
@@ -21,7 +21,7 @@
     """
     await site.start(8)
     for name in ('m1', 'm2'):
-        site.targets[name].gap = 0.1
+        site.targets[name].event_interval = 0.1
     tasks = []
     for number in range(8):
         tasks.append(asyncio.ensure_future(_turn(site, number, 8)))
@@ -54,14 +54,14 @@
     await site.start(4)
     for number in range(40):
         await site.call(f'i{1 + number % 4}', 'look', method=b'GET')
-    site.targets['t1'].work = 0.2
+    site.targets['t1'].service_time = 0.2
     for number in range(40):
         await site.call(f'i{1 + number % 4}', 'look', method=b'GET')
     for name in ('t1', 't2'):
-        site.targets[name].runs.clear()
+        site.targets[name].executions.clear()
     for number in range(20):
         await site.call(f'i{1 + number % 4}', 'look', method=b'GET')
-    slow = len(site.targets['t1'].runs)
+    slow = len(site.targets['t1'].executions)
     case.assertLess(slow, 5)
 
 
@@ -105,7 +105,7 @@
         engines = {
             name
             for name, target in site.targets.items()
-            for run in target.runs
+            for run in target.executions
             if run.request.startswith(program)
         }
         case.assertEqual(1, len(engines), program)
--- a/tests/gateway/test_sickness.py
+++ b/tests/gateway/test_sickness.py
@@ -46,9 +46,9 @@
     site.targets['t1'].faults.clear()
     await asyncio.sleep(4.0)
     await _order_everywhere(site, 6)
-    site.targets['t1'].runs.clear()
+    site.targets['t1'].executions.clear()
     await _order_everywhere(site, 2)
-    case.assertGreaterEqual(len(site.targets['t1'].runs), 3)
+    case.assertGreaterEqual(len(site.targets['t1'].executions), 3)
 
 
 async def test_bad_link_of_one_instance_condemns_no_server(
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -90,20 +90,20 @@
     """
     program = sites.find_program('i3', 'i2')
     await _lose_all(site, network)
-    site.store.delay = 0.2
+    site.store.response_delay = 0.2
     await site.add_front('i2')
     await asyncio.sleep(2.0)
-    site.store.delay = 0.004
+    site.store.response_delay = 0.004
     await _set_engines(site, are_leaving=True)
     answer = await _turn(site, 'i2', 'a1', program)
     case.assertEqual(503, answer.status)
     # What the first home has is out of reach: it loses power.
-    site.store.delay = 0.2
+    site.store.response_delay = 0.2
     await site.add_front('i3')
     await asyncio.sleep(2.0)
     sites.kill(site, network, 'i2')
     await asyncio.sleep(2.0)
-    site.store.delay = 0.004
+    site.store.response_delay = 0.004
     await _set_engines(site, are_leaving=False)
     answer = await _turn(site, 'i3', 'a2', program)
     case.assertEqual(200, answer.status)
@@ -119,7 +119,7 @@
     program = 'new'
     home = sites.rank(program, site.fronts)[0]
     other = next(name for name in site.fronts if name != home)
-    site.store.delay = 0.3
+    site.store.response_delay = 0.3
     front = site.fronts[other]
     question = peer_messages.Reserve(program, MOST, 'lost', MOST)
     until = site.timers.now() + 0.1
@@ -127,7 +127,7 @@
     await asyncio.sleep(0.15)
     task.cancel()
     await asyncio.sleep(2.0)
-    site.store.delay = 0.004
+    site.store.response_delay = 0.004
     answer = await site.turn(
         other, 'a1', program=program, budget=MOST, most=MOST
     )
--- a/tests/gateway/test_turns.py
+++ b/tests/gateway/test_turns.py
@@ -84,7 +84,7 @@
 async def test_turn_is_not_called_unknown_while_the_store_is_away(case, site):
     await site.start()
     await site.turn('i1', 'a')
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     answer = await site.turn('i2', 'b', previous='a')
     case.assertEqual(503, answer.status)
     case.assertIn(b'retry-after', answer.headers)
@@ -99,7 +99,7 @@
     """
     await site.start()
     await site.turn('i1', 'warm', b'old')
-    site.store.delay = 0.2
+    site.store.response_delay = 0.2
     task = asyncio.ensure_future(site.turn('i1', 'a', previous='warm'))
     while 'a' not in site.store.list_table('turns'):
         case.assertFalse(task.done())
@@ -244,7 +244,7 @@
         await site.turn(
             'i1', f'a{number}', route='plan', program=f'p{number}', budget=800
         )
-    site.store.mode = store_module.Mode.RESET
+    site.store.mode = store_module.Mode.RESET_CONNECTION
     await asyncio.sleep(0.5)
     await site.fronts['i2'].stop()
     await site.fronts['i3'].stop()
@@ -295,7 +295,7 @@
     """
     await site.start()
     await site.turn('i1', 'a', route='plan')
-    site.store.mode = store_module.Mode.RESET
+    site.store.mode = store_module.Mode.RESET_CONNECTION
     await asyncio.sleep(1.0)
     for number in range(3):
         answer = await site.turn('i2', f'b{number}', route='plan')
@@ -313,7 +313,7 @@
     for front in site.fronts.values():
         front._tenure.note_program()
         front._tenure.note_break(site.timers.now())
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(1.0)
     began = site.timers.now()
     answer = await site.turn('i1', 'a', route='plan', program='new')
@@ -345,7 +345,7 @@
 async def test_stream_cut_within_an_event_does_not_look_complete(case, site):
     await site.start()
     for target in site.targets.values():
-        target.faults.append(targets.Fault.CUT_ANSWER)
+        target.faults.append(targets.Fault.TRUNCATE_ANSWER)
     answer = await sites.call_whole(
         site, 'i1', 'chat', request='a', program_id='p1', session_id='s'
     )
@@ -364,7 +364,7 @@
     """
     await site.start()
     site.store.put('servers', 'm2', None)
-    site.targets['m1'].faults.append(targets.Fault.CUT_ANSWER)
+    site.targets['m1'].faults.append(targets.Fault.TRUNCATE_ANSWER)
     await asyncio.sleep(0.1)
     answer = await site.turn('i1', 'a', route='plan')
     expected = b''.join(
@@ -384,7 +384,7 @@
     await site.start()
     site.store.put('servers', 'm2', None)
     site.targets['m1'].faults.append(targets.Fault.LOSE_ANSWER)
-    site.targets['m1'].work = 0.5
+    site.targets['m1'].service_time = 0.5
     await asyncio.sleep(0.1)
     task = asyncio.ensure_future(site.turn('i1', 'a', route='plan'))
     await asyncio.sleep(0.2)
@@ -400,17 +400,17 @@
     site.store.put('op', 'config', calls.make_configuration(2, [route]))
     await asyncio.sleep(0.1)
     for name in ('m1', 'm2'):
-        site.targets[name].faults.append(targets.Fault.CUT_ANSWER)
+        site.targets[name].faults.append(targets.Fault.TRUNCATE_ANSWER)
     answer = await site.turn('i1', 'a', route='plan')
     case.assertEqual(200, answer.status)
-    ran_at = [name for name in ('m1', 'm2') if site.targets[name].runs]
+    ran_at = [name for name in ('m1', 'm2') if site.targets[name].executions]
     case.assertEqual(1, len(ran_at))
 
 
 async def test_client_that_leaves_ends_the_work_at_the_server(case, site):
     await site.start()
     for target in site.targets.values():
-        target.gap = 1.0
+        target.event_interval = 1.0
     task = asyncio.ensure_future(site.turn('i1', 'a'))
     await asyncio.sleep(0.5)
     task.cancel()
--- a/tests/node/machines.py
+++ b/tests/node/machines.py
@@ -350,7 +350,7 @@
             case.assertEqual(1, len(holders), f'owners of shard {shard}')
             found = holders[0].programs.find(act.program)
             case.assertIsNotNone(found, act)
-            case.assertIn(act.target, found.held)
+            case.assertIn(act.target, found.cache_targets)
 
 
 async def read_journal(
--- a/tests/node/test_compaction.py
+++ b/tests/node/test_compaction.py
@@ -65,7 +65,9 @@
     cluster.set_state('one', messages.State.FAILED)
     await asyncio.sleep(9.0)
     for program in programs:
-        case.assertEqual({'engine-1'}, second.programs.find(program).held)
+        case.assertEqual(
+            {'engine-1'}, second.programs.find(program).cache_targets
+        )
 
 
 async def test_ended_program_leaves_the_store_when_its_time_is_over(
--- a/tests/node/test_ownership.py
+++ b/tests/node/test_ownership.py
@@ -41,7 +41,7 @@
     case.assertEqual(ids.SHARD_COUNT, len(second.ownership.owned_shards()))
     for program in programs:
         found = second.programs.find(program)
-        case.assertEqual({'engine-1'}, found.held)
+        case.assertEqual({'engine-1'}, found.cache_targets)
         case.assertEqual(2, second.ownership.epoch_of(ids.find_shard(program)))
 
 
--- a/tests/programs/test_decisions.py
+++ b/tests/programs/test_decisions.py
@@ -41,11 +41,11 @@
 
 def test_repeated_key_joins_and_another_request_is_told(case, driver, program):
     driver.run(program, 'k1')
-    case.assertEqual(decisions.Repeat(1), driver.accept(program, 'k1'))
+    case.assertEqual(decisions.DuplicateCall(1), driver.accept(program, 'k1'))
     other = driver.accept(program, 'k1', fingerprint='other')
     case.assertEqual(_KIND.KEY_REUSED, other.kind)
     driver.end(program)
-    case.assertEqual(decisions.Repeat(1), driver.accept(program, 'k1'))
+    case.assertEqual(decisions.DuplicateCall(1), driver.accept(program, 'k1'))
     case.assertEqual(_KIND.PROGRAM_ENDED, driver.accept(program, 'k2').kind)
 
 
@@ -216,7 +216,7 @@
     driver.intend(program)
     driver.fail(program, failures.Failure(_KIND.LEASE_LOST, 'lost'))
     again = _order(driver, program)
-    case.assertEqual(decisions.Repeat(1), again)
+    case.assertEqual(decisions.DuplicateCall(1), again)
 
 
 def test_a_retry_on_an_ended_program_is_told_no_more_than_is_known(
@@ -232,7 +232,7 @@
     driver.intend(program)
     driver.fail(program, failed)
     driver.end(program)
-    case.assertEqual(decisions.Repeat(1), driver.accept(program, 'k1'))
+    case.assertEqual(decisions.DuplicateCall(1), driver.accept(program, 'k1'))
 
 
 def test_a_kind_of_a_later_version_stops_nothing(case, driver, program):
@@ -241,7 +241,7 @@
         program.id, 1, number=1, error='new_kind', reason='unheard of'
     )
     driver.take([later])
-    case.assertEqual(decisions.Repeat(1), driver.accept(program, 'k1'))
+    case.assertEqual(decisions.DuplicateCall(1), driver.accept(program, 'k1'))
 
 
 def test_repeated_key_joins_a_run_that_goes_on(case, driver, program):
@@ -254,7 +254,7 @@
     _order(driver, program, 'r\n2', run='r', tool_call_id='c1')
     driver.fail(program, failures.Failure(_KIND.NO_TARGET, 'none'))
     repeated = driver.accept(program, 'r', run='r')
-    case.assertEqual(decisions.Repeat(1), repeated)
+    case.assertEqual(decisions.DuplicateCall(1), repeated)
     case.assertEqual((_AGAIN,), program.pending_tools)
 
 
@@ -316,15 +316,15 @@
     already fills the engine's cache again.
     """
     driver.run(program, 'k1')
-    case.assertEqual({'t1'}, program.held)
+    case.assertEqual({'t1'}, program.cache_targets)
     case.assertEqual([], caches.hold_cache(program, 't1', 1))
     driver.accept(program, 'k2')
     driver.intend(program)
     driver.take(caches.release_cache(program, 't1', 1))
-    case.assertEqual({'t1'}, program.held)
+    case.assertEqual({'t1'}, program.cache_targets)
     driver.end(program)
     driver.take(caches.release_cache(program, 't1', 1))
-    case.assertEqual(set(), program.held)
+    case.assertEqual(set(), program.cache_targets)
 
 
 load_tests = fixtures.adapt(__name__)
--- a/tests/programs/test_loops.py
+++ b/tests/programs/test_loops.py
@@ -6,7 +6,7 @@
 from vanillayoke.testing import fixtures
 
 _LIMITS = loops.RunawayLimits(
-    repeats=3, window=60.0, fraction=0.2, least_calls=4
+    repeats=3, window=60.0, fraction=0.2, min_calls=4
 )
 
 
@@ -67,9 +67,11 @@
     program = driver.open()
     for index in range(4):
         driver.run(program, f'k{index}', 'stock')
-    case.assertIn('tokens', loops.find_burn(program, _LIMITS, drivers.NOW))
+    case.assertIn(
+        'tokens', loops.find_fast_spending(program, _LIMITS, drivers.NOW)
+    )
     later = drivers.NOW + 61.0
-    case.assertIsNone(loops.find_burn(program, _LIMITS, later))
+    case.assertIsNone(loops.find_fast_spending(program, _LIMITS, later))
 
 
 load_tests = fixtures.adapt(__name__)
--- a/tests/programs/test_machine.py
+++ b/tests/programs/test_machine.py
@@ -167,7 +167,7 @@
                 idempotent=call.idempotent,
                 run=call.run,
             )
-            if repeated != decisions.Repeat(latest.number):
+            if repeated != decisions.DuplicateCall(latest.number):
                 assert not was_open, repeated
                 assert _may_retry(before), repeated
 
--- a/tests/programs/test_opening.py
+++ b/tests/programs/test_opening.py
@@ -62,7 +62,7 @@
 def test_child_is_cut_to_its_ancestors(case, driver):
     root = driver.open(budget=_SMALL)
     wide = drivers.make_opened('child', deadline=drivers.DEADLINE + 1)
-    cut = opening.fit_child(wide, (root,))
+    cut = opening.clamp_child(wide, (root,))
     case.assertEqual(_SMALL, cut.budget)
     case.assertEqual(drivers.DEADLINE, cut.deadline)
 
--- a/tests/programs/test_transcripts.py
+++ b/tests/programs/test_transcripts.py
@@ -34,7 +34,7 @@
         found = []
         wanted = base
         while wanted:
-            stored = transcripts.read_rows(wanted, rows)
+            stored = transcripts.decode_rows(wanted, rows)
             found.append(stored.text)
             wanted = stored.base
         case.assertEqual(text, b''.join(reversed(found)))
@@ -52,17 +52,17 @@
     rows = _keep('t', '', b'', b'x' * 500_000)
     for key in rows:
         case.assertLessEqual('t', key)
-        case.assertLess(key, transcripts.get_key_end('t'))
+        case.assertLess(key, transcripts.get_range_end('t'))
 
 
 def test_missing_or_broken_row_is_no_turn(case):
-    case.assertIsNone(transcripts.read_rows('t', {}))
+    case.assertIsNone(transcripts.decode_rows('t', {}))
     rows = _keep('t', '', b'', b'x' * 500_000)
-    del rows[transcripts.make_key('t', 1)]
-    with case.assertRaises(transcripts.BrokenTurnError):
-        transcripts.read_rows('t', rows)
-    with case.assertRaises(transcripts.BrokenTurnError):
-        transcripts.read_rows('t', {'t': b'\xc1noise'})
+    del rows[transcripts.make_row_key('t', 1)]
+    with case.assertRaises(transcripts.CorruptTurnError):
+        transcripts.decode_rows('t', rows)
+    with case.assertRaises(transcripts.CorruptTurnError):
+        transcripts.decode_rows('t', {'t': b'\xc1noise'})
 
 
 load_tests = fixtures.adapt(__name__)
