--- a/tests/adapter/test_process.py
+++ b/tests/adapter/test_process.py
@@ -1,4 +1,4 @@
-"""Tests of an instance as a process: settings, metrics, logs, its stop."""
+"""Tests of the instance process: settings, metrics, log and shutdown."""
 
 import asyncio
 import json
@@ -15,11 +15,11 @@
 from vanillayoke.testing import fixtures
 from vanillayoke.transport import client
 
-# A loopback address of this process's own, so that the fixed ports are free
-# beside another run of the tests on the same machine.
+# Derived from the process id, so that concurrent test runs on one machine do
+# not compete for the fixed ports.
 HOST = f'127.83.{os.getpid() // 250 % 250 + 1}.{os.getpid() % 250 + 1}'
 STORE_PORT = 8142
-PATIENCE = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
 @fixtures.fixture
@@ -30,10 +30,10 @@
 
 @fixtures.fixture
 def pipe():
-    reading, writing = os.pipe()
-    yield reading, writing
-    os.close(reading)
-    os.close(writing)
+    read_end, write_end = os.pipe()
+    yield read_end, write_end
+    os.close(read_end)
+    os.close(write_end)
 
 
 def _write_settings(folder, **more):
@@ -56,7 +56,7 @@
     return str(path)
 
 
-def _spoil(path):
+def _corrupt(path):
     pathlib.Path(path).write_text('{"node": 7}')
 
 
@@ -71,7 +71,7 @@
 
 
 async def _wait_ready():
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while True:
             try:
                 if (await _get(8141, b'/-/readyz'))[0] == 200:
@@ -82,28 +82,28 @@
 
 
 @fixtures.on_real_loop
-async def test_process_starts_follows_its_settings_and_stops(
+async def test_process_starts_reloads_its_settings_and_stops(
     case, folder, pipe
 ):
-    reading, writing = pipe
+    read_end, write_end = pipe
     store = store_module.FakeStore()
     await store.listen(HOST, STORE_PORT)
     store.put('op', 'config', calls.make_configuration(1, []))
     path = _write_settings(folder)
-    one = process.Process(path, writing)
-    task = asyncio.ensure_future(one.run())
+    instance = process.Process(path, write_end)
+    task = asyncio.ensure_future(instance.run())
     await _wait_ready()
     status, page = await _get(process.METRICS_PORT, b'/metrics')
     case.assertEqual(200, status)
     case.assertIn(b'vanillayoke_store_calls_total', page)
-    _spoil(path)
+    _corrupt(path)
     await asyncio.sleep(2 * process.SETTINGS_POLL_SECONDS)
     _write_settings(folder, zone='z2')
     await asyncio.sleep(2 * process.SETTINGS_POLL_SECONDS)
-    one.stop()
-    async with asyncio.timeout(PATIENCE):
+    instance.stop()
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         await task
-    lines = os.read(reading, 1 << 20).splitlines()
+    lines = os.read(read_end, 1 << 20).splitlines()
     names = [json.loads(line)['message_type'] for line in lines]
     for name in (
         'process_started',
@@ -120,17 +120,16 @@
 @fixtures.fixture
 def stop_signals():
     numbers = (signal.SIGTERM, signal.SIGINT)
-    before = [signal.getsignal(number) for number in numbers]
+    handlers = [signal.getsignal(number) for number in numbers]
     yield numbers
-    for number, handler in zip(numbers, before, strict=True):
+    for number, handler in zip(numbers, handlers, strict=True):
         signal.signal(number, handler)
 
 
-def test_stop_that_is_told_twice_is_one(case, stop_signals):
-    """A process that had drained and written its last line "crashed".
+def test_second_stop_signal_is_ignored(case, stop_signals):
+    """A second stop signal during shutdown must not kill the process.
 
-    It was told to stop a second time while its event loop was closing, which
-    had given the signal back, and ended by the signal instead of with 0.
+    The event loop restores the default handlers as it closes.
     """
 
     async def run():
--- a/tests/adapter/test_wire.py
+++ b/tests/adapter/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's wire: what is decoded, and what is refused."""
+"""Tests of encoding and decoding the platform's wire protocol."""
 
 import pathlib
 import platform
@@ -43,14 +43,14 @@
     case.assertTrue(hasattr(platform, 'python_implementation'))
 
 
-def test_settings_are_read_and_unknown_fields_passed(case, folder):
+def test_settings_are_read_and_unknown_fields_ignored(case, folder):
     path = folder / 'settings.json'
     path.write_bytes(msgspec.json.encode(SETTINGS))
-    found = settings.read_settings(str(path))
-    case.assertEqual(('i1', 'z1'), (found.instance, found.zone))
+    decoded = settings.read_settings(str(path))
+    case.assertEqual(('i1', 'z1'), (decoded.instance, decoded.zone))
 
 
-def test_broken_settings_name_file_and_field(case, folder):
+def test_error_for_invalid_settings_names_file_and_field(case, folder):
     path = folder / 'settings.json'
     path.write_bytes(msgspec.json.encode({**SETTINGS, 'zone': 7}))
     with case.assertRaises(settings.SettingsError) as caught:
@@ -59,12 +59,12 @@
     case.assertIn('zone', str(caught.exception))
 
 
-def test_call_without_an_id_is_refused(case):
+def test_call_without_an_id_is_rejected(case):
     with case.assertRaises(dialect.BadCallError):
         _decode((b'Host', b'x'))
 
 
-def test_spoiled_numbers_are_refused(case):
+def test_malformed_numbers_are_rejected(case):
     for name, value in (
         (b'X-Vanillayoke-Deadline-Ms', b'soon'),
         (b'X-Vanillayoke-Token-Usage', b'1;2'),
@@ -75,7 +75,7 @@
             _decode((b'X-Vanillayoke-Request-Id', b'r'), (name, value))
 
 
-def test_turn_is_decoded_whole(case):
+def test_all_fields_of_a_turn_are_decoded(case):
     call = _decode(
         (b'Host', b'Site.example:80'),
         (b'X-Vanillayoke-Request-Id', b'r1'),
@@ -94,7 +94,7 @@
     case.assertEqual('r0', call.previous_turn)
 
 
-def test_unknown_service_names_route_and_service(case):
+def test_error_for_an_unknown_service_names_route_and_service(case):
     routes = [calls.make_route('r', 'nowhere', 'safe')]
     value = msgspec.json.encode(calls.make_configuration(3, routes))
     with case.assertRaises(dialect.BadRowError) as caught:
@@ -103,43 +103,39 @@
     case.assertIn('nowhere', str(caught.exception))
 
 
-def test_broken_rows_are_errors(case):
+def test_malformed_pages_are_rejected(case):
     for body in (b'', b'[]', b'{"rows":[{"table":1}]}', b'{"rows":7}'):
         with case.assertRaises(dialect.BadRowError):
             rows.decode_page(body)
 
 
-def test_row_that_cannot_be_read_leaves_the_others(case):
-    """Another writer spoils one row of a table that all instances follow.
-
-    Once, the whole answer was then an error: followers read it over and
-    over, and no change of the table came through any more.
-    """
+def test_unreadable_row_does_not_affect_the_others(case):
+    """One corrupt row must not stop instances from following its table."""
     good = {'table': 't', 'part': '', 'key': 'k1', 'value': 'dg==', 'ver': 1}
     for value in ('%%', 7, ['x'], {'a': 1}, 'd'):
-        spoiled = {**good, 'key': 'k2', 'value': value, 'ver': 2}
-        body = msgspec.json.encode({'rows': [spoiled, good], 'ver': 3})
-        found = {row.where.key: row for row in rows.decode_page(body).rows}
-        case.assertEqual(b'v', found['k1'].value)
-        case.assertEqual((rows.UNREADABLE, 2), found['k2'][1:])
+        corrupt = {**good, 'key': 'k2', 'value': value, 'ver': 2}
+        body = msgspec.json.encode({'rows': [corrupt, good], 'ver': 3})
+        by_key = {row.where.key: row for row in rows.decode_page(body).rows}
+        case.assertEqual(b'v', by_key['k1'].value)
+        case.assertEqual((rows.UNREADABLE, 2), by_key['k2'][1:])
         for decode in (
             lambda value: configuration.decode_target('k2', value),
             configuration.decode_configuration,
         ):
             with case.assertRaises(dialect.BadRowError):
-                decode(found['k2'].value)
+                decode(by_key['k2'].value)
 
 
-def test_row_of_another_writer_names_no_server(case):
+def test_malformed_server_rows_are_rejected(case):
     good = calls.make_server_row('models', '10.8.0.1:8080', 4, 'ready', born=5)
     target = configuration.decode_target('m1', msgspec.json.encode(good))
     case.assertEqual(('models', 4, 5), (target[1], target.slots, target[6]))
-    spoiled = [
-        {name: good[name] for name in good if name != left_out}
-        for left_out in good
-        if left_out != 'born'
+    malformed = [
+        {name: good[name] for name in good if name != omitted}
+        for omitted in good
+        if omitted != 'born'
     ]
-    spoiled += [
+    malformed += [
         {**good, **change}
         for change in (
             {'state': 'resting'},
@@ -156,7 +152,7 @@
             {'call_seq': []},
         )
     ]
-    for row in spoiled:
+    for row in malformed:
         with case.subTest(row=row), case.assertRaises(dialect.BadRowError):
             configuration.decode_target('m1', msgspec.json.encode(row))
 
