--- a/libs/programs/vanillayoke/programs/__init__.py
+++ b/libs/programs/vanillayoke/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Program record, order, budget, journal and replay: pure."""
+"""Program state, call order, budgets, journal records and replay; no I/O."""
--- a/libs/programs/vanillayoke/programs/budget.py
+++ b/libs/programs/vanillayoke/programs/budget.py
@@ -1,7 +1,7 @@
 """The budget ledger of a program and its sub-agents.
 
-An amount is reserved under a key before work is dispatched and settled once
-under the same key. A repeated record finds its key used and changes nothing.
+An amount is reserved under a key before work is dispatched and settled under
+the same key. Both are idempotent, so repeated records have no effect.
 """
 
 import dataclasses
@@ -9,21 +9,21 @@
 from vanillayoke.programs import records
 
 RESOURCES = ('tokens', 'calls', 'seconds', 'money')
-MILLION = 1_000_000
+_MILLION = 1_000_000
 
 
 def make_key(program: str, number: int) -> str:
-    """Return the ledger key of a program's call, unique in its tree."""
+    """Return the ledger key of a call, unique in the program's tree."""
     return f'{program}/{number}'
 
 
-def add_spend(one: records.Spend, other: records.Spend) -> records.Spend:
+def add_spend(left: records.Spend, right: records.Spend) -> records.Spend:
     """Add two amounts."""
     return records.Spend(
-        tokens=one.tokens + other.tokens,
-        calls=one.calls + other.calls,
-        seconds=one.seconds + other.seconds,
-        money=one.money + other.money,
+        tokens=left.tokens + right.tokens,
+        calls=left.calls + right.calls,
+        seconds=left.seconds + right.seconds,
+        money=left.money + right.money,
     )
 
 
@@ -33,26 +33,26 @@
     seconds: float,
     money_per_million_tokens: int,
 ) -> records.Spend:
-    """Return the most that a model call can use.
+    """Return the maximum that a model call can use.
 
-    ``prompt_tokens`` is an estimate; ``max_tokens`` is given to the engine
-    and so caps the answer. Money is rounded up.
+    ``prompt_tokens`` is an estimate; the engine enforces ``max_tokens``.
+    Money is rounded up.
     """
     tokens = prompt_tokens + max_tokens
     return records.Spend(
         tokens=tokens,
         calls=1,
         seconds=seconds,
-        money=-(-tokens * money_per_million_tokens // MILLION),
+        money=-(-tokens * money_per_million_tokens // _MILLION),
     )
 
 
 @dataclasses.dataclass(slots=True)
 class Ledger:
-    """What a budget has committed and what is still reserved.
+    """The committed and reserved amounts of a budget.
 
-    ``reserved`` is summed from the open reservations each time: adding and
-    subtracting floats would leave a rest behind that grows with each call.
+    ``reserved`` is summed from the open reservations each time: a running
+    total would accumulate floating-point errors.
     """
 
     budget: records.Budget
@@ -69,7 +69,7 @@
         return total
 
     def remaining(self) -> records.Spend:
-        """Return what may still be reserved; below zero when overspent."""
+        """Return what may still be reserved; negative when overspent."""
         used = add_spend(self.committed, self.reserved)
         return records.Spend(
             tokens=self.budget.tokens - used.tokens,
@@ -81,8 +81,8 @@
     def find_shortage(self, amount: records.Spend) -> str | None:
         """Return the first resource that does not cover an amount.
 
-        A resource that is overspent refuses even an amount of zero of it,
-        so that a call which used more than it reserved stops the program.
+        An overspent resource does not even cover an amount of zero, so that
+        a call that used more than it reserved stops the program.
         """
         remaining = self.remaining()
         for name in RESOURCES:
@@ -91,16 +91,17 @@
         return None
 
     def reserve(self, key: str, amount: records.Spend) -> bool:
-        """Hold an amount; return whether the key was new."""
+        """Reserve an amount; return whether the key was new."""
         if key in self.open or key in self.settled:
             return False
         self.open[key] = amount
         return True
 
     def settle(self, key: str, spent: records.Spend) -> bool:
-        """Replace a reservation by a spend; return whether it was open.
+        """Replace a reservation by the spent amount.
 
-        A spend whose reservation is not known counts all the same.
+        Return whether the key had not been settled before. The amount counts
+        even if there was no reservation.
         """
         if key in self.settled:
             return False
--- a/libs/programs/vanillayoke/programs/caches.py
+++ b/libs/programs/vanillayoke/programs/caches.py
@@ -1,4 +1,4 @@
-"""Decisions about the engine memory that targets hold for a program."""
+"""Decisions about engine caches that targets hold for a program."""
 
 from vanillayoke.programs import program as programs
 from vanillayoke.programs import records
@@ -7,10 +7,10 @@
 def hold_cache(
     program: programs.Program, target: str, epoch: int
 ) -> list[records.AnyRecord]:
-    """Record that a target may hold engine memory for a program.
+    """Record that a target may hold an engine cache for a program.
 
-    An intended model call records that by itself; this is for a cache that
-    comes by another way, such as an import.
+    A ``CallIntended`` of a model call implies this; use it for caches with
+    another origin, such as an import.
     """
     if target in program.cache_targets:
         return []
@@ -20,10 +20,10 @@
 def release_cache(
     program: programs.Program, target: str, epoch: int
 ) -> list[records.AnyRecord]:
-    """Record a target's word that it holds no memory for a program.
+    """Record a target's confirmation that it holds no cache for a program.
 
-    A late word is not taken while a model call runs there: the engine
-    fills its cache again, and nobody would release that.
+    The confirmation is ignored while a call runs at the target: the engine
+    fills its cache again, and that cache would never be released.
     """
     running = program.running
     is_in_use = running is not None and running.target == target
--- a/libs/programs/vanillayoke/programs/calls.py
+++ b/libs/programs/vanillayoke/programs/calls.py
@@ -10,7 +10,7 @@
 
 
 class CallState(enum.StrEnum):
-    """How far a call has come; the last two are final."""
+    """The state of a call; the last two are final."""
 
     ACCEPTED = 'accepted'
     INTENDED = 'intended'
@@ -18,11 +18,11 @@
     FAILED = 'failed'
 
 
-FINAL = frozenset((CallState.ANSWERED, CallState.FAILED))
+_FINAL_STATES = frozenset((CallState.ANSWERED, CallState.FAILED))
 
 
 class ToolError(msgspec.Struct, frozen=True):
-    """What the model reads in place of a failed tool call's result."""
+    """The content that replaces the result of a failed tool call."""
 
     error: str
     reason: str
@@ -32,8 +32,8 @@
 class Call:
     """One call of a program; the fields are those of its records.
 
-    ``epoch`` is that of its acceptance, ``message`` the answer and
-    ``spent`` what was settled. ``in_doubt`` tells that an attempt before
+    ``epoch`` is the one in which it was accepted, ``message`` the answer and
+    ``spent`` the settled amount. ``in_doubt`` means that an attempt before
     the last one may have run.
     """
 
@@ -84,38 +84,38 @@
 
     @property
     def is_final(self) -> bool:
-        """Tell whether the call has its answer or final error."""
-        return self.state in FINAL
+        """Return whether the call has an answer or a final error."""
+        return self.state in _FINAL_STATES
 
     @property
     def is_intended(self) -> bool:
-        """Tell whether the call has an intent and no outcome."""
+        """Return whether the call has an intent and no outcome."""
         return self.state is CallState.INTENDED
 
     def is_unsent(self, epoch: int) -> bool:
-        """Tell whether no attempt at a running call was ever made.
+        """Return whether no attempt at a running call was ever made.
 
-        ``epoch`` is the present holder's.
+        ``epoch`` is the current owner's.
         """
         if self.state is not CallState.ACCEPTED:
             return False
         return not self.may_have_lost_intent(epoch)
 
     def may_have_lost_intent(self, epoch: int) -> bool:
-        """Tell whether an earlier holder may have sent the call unseen.
+        """Return whether an earlier owner may have sent an unrecorded attempt.
 
-        The intent of an idempotent call does not wait for the journal. The
-        holder sends the call and is lost before its next segment: to its
-        successor, the call looks as if it was never sent.
+        The intent of an idempotent call need not be durable before the call
+        is sent. If the owner fails before its next segment, its successor
+        finds no intent although the call was sent.
         """
         return self.idempotent and self.epoch < epoch
 
     def list_result(self) -> tuple[records.Message, ...]:
         """Return the messages that a final call adds to the history.
 
-        A tool call that the model did not ask for adds none, as the chat
-        completions protocol has no place for it. A failed one adds its
-        error: an engine refuses an unanswered tool request.
+        A tool call that the model did not request adds none: the chat
+        completions protocol has no message for it. A failed tool call adds
+        its error, since engines reject unanswered tool requests.
         """
         is_model = self.kind is records.CallKind.MODEL
         if not is_model and not self.tool_call_id:
@@ -130,11 +130,10 @@
 
 
 def parse_kind(error: str) -> failures.Kind:
-    """Return the kind of a recorded error.
+    """Return the kind of a recorded error; ``INTERNAL`` if it is unknown.
 
-    While instances are replaced one by one, an older one reads records of
-    a newer one. A kind that it does not know must not stop it from serving
-    the program, and claims nothing about whether the call ran.
+    During a rolling upgrade, an older instance may read a kind that only
+    newer versions have. ``INTERNAL`` does not say whether the call ran.
     """
     try:
         return failures.Kind(error)
--- a/libs/programs/vanillayoke/programs/checks.py
+++ b/libs/programs/vanillayoke/programs/checks.py
@@ -1,4 +1,4 @@
-"""Checks that a call must pass to get its place in a program's order."""
+"""Checks that a call must pass to be accepted by a program."""
 
 import typing
 
@@ -14,10 +14,7 @@
 
 
 class CallProposal(typing.NamedTuple):
-    """A call that wants its place in a program's order.
-
-    The fields are those of ``records.CallAccepted``.
-    """
+    """A call to be accepted; the fields are those of ``CallAccepted``."""
 
     kind: records.CallKind
     key: str
@@ -33,14 +30,14 @@
 
 
 def make_step_key(run: str, number: int) -> str:
-    """Return the key of a run's later step; clients cannot send such."""
+    """Return the key of a run's later step, which clients can't send."""
     return f'{run}{_STEP_SEPARATOR}{number}'
 
 
 def check_request(
     program: programs.Program, request: CallProposal
 ) -> failures.Failure | None:
-    """Refuse a call that could never be accepted as it is."""
+    """Reject a call that is invalid in any state of the program."""
     if not request.key:
         return failures.Failure(
             failures.Kind.BAD_REQUEST, 'an idempotency key is needed'
@@ -54,8 +51,8 @@
         return failures.Failure(
             failures.Kind.BAD_REQUEST, 'a reservation is negative'
         )
-    # A tool request of the model stands for one call. A host that lost
-    # track, say after a takeover, would else run it under a second key.
+    # Each tool request of the model allows one call. After a takeover, the
+    # new owner might otherwise run it again under another key.
     if request.tool_call_id and not _is_pending(program, request):
         return failures.Failure(
             failures.Kind.BAD_REQUEST, 'the model has no such open request'
@@ -65,7 +62,7 @@
 
 def _is_pending(program: programs.Program, request: CallProposal) -> bool:
     pending = program.pending_tools
-    return any(one.id == request.tool_call_id for one in pending)
+    return any(tool.id == request.tool_call_id for tool in pending)
 
 
 def check_state(
@@ -73,19 +70,19 @@
     ancestors: typing.Sequence[programs.Program],
     now_wall: float,
 ) -> failures.Failure | None:
-    """Refuse a call of a program that takes no more."""
+    """Reject a call if the program or an ancestor takes no calls."""
     if not program.is_active:
         return failures.Failure(
             failures.Kind.PROGRAM_ENDED, f'ended: {program.end_reason}'
         )
-    # A caller that lost sight of the programs above would let a sub-agent
-    # spend past their budgets, as nothing would be drawn on them.
-    above = ancestors[0].id if ancestors else ''
-    if program.parent != above:
+    # Without all ancestors, a sub-agent could exceed their budgets, as
+    # nothing would be drawn on them.
+    parent = ancestors[0].id if ancestors else ''
+    if program.parent != parent:
         return failures.Failure(
             failures.Kind.PROGRAM_ENDED, 'its parent is gone'
         )
-    if not all(one.is_active for one in ancestors):
+    if not all(ancestor.is_active for ancestor in ancestors):
         return failures.Failure(
             failures.Kind.PROGRAM_ENDED, 'an ancestor has ended'
         )
@@ -99,7 +96,7 @@
 def check_order(
     program: programs.Program, request: CallProposal
 ) -> failures.Failure | None:
-    """Refuse a call out of its turn."""
+    """Reject a call while another call or run is in progress."""
     running = program.running
     if running is not None:
         return failures.Failure(
@@ -129,12 +126,11 @@
 def repeats_unknown_outcome(
     program: programs.Program, request: CallProposal
 ) -> bool:
-    """Tell whether a model asks again for what may have been done.
+    """Return whether a model repeats a call whose outcome is unknown.
 
-    An instance dies while an order is on its way; the model reads that the
-    outcome is unknown and simply orders again under a new request id: two
-    deliveries, two invoices. A client that knows better can still make the
-    call itself, since such a call has no ``tool_call_id``.
+    A model that reads that the outcome is unknown may request the same call
+    under a new id, and a non-idempotent call might then run twice. Clients
+    can still make the call themselves, without a ``tool_call_id``.
     """
     if request.idempotent or not request.tool_call_id:
         return False
@@ -142,17 +138,17 @@
         call.error == failures.Kind.OUTCOME_UNKNOWN.value
         and not call.idempotent
         and call.name == request.name
-        and _are_same(call.arguments, request.arguments)
+        and _are_equal(call.arguments, request.arguments)
         for call in program.calls
     )
 
 
-def _are_same(one: str, other: str) -> bool:
-    """Compare arguments by value: a model may space its JSON otherwise."""
-    if one == other:
+def _are_equal(left: str, right: str) -> bool:
+    """Compare arguments by value: the whitespace of JSON may differ."""
+    if left == right:
         return True
     try:
-        return msgspec.json.decode(one) == msgspec.json.decode(other)
+        return msgspec.json.decode(left) == msgspec.json.decode(right)
     except msgspec.DecodeError:
         return False
 
@@ -162,12 +158,12 @@
     ancestors: typing.Sequence[programs.Program],
     reserved: records.Spend,
 ) -> failures.Failure | None:
-    """Refuse a call beyond the program's or an ancestor's budget."""
-    for holder in (program, *ancestors):
-        shortage = holder.ledger.find_shortage(reserved)
+    """Reject a call beyond the program's or an ancestor's budget."""
+    for member in (program, *ancestors):
+        shortage = member.ledger.find_shortage(reserved)
         if shortage is not None:
             return failures.Failure(
                 failures.Kind.BUDGET_EXHAUSTED,
-                f'the {shortage} left do not cover the call',
+                f'not enough {shortage} left for the call',
             )
     return None
--- a/libs/programs/vanillayoke/programs/conversations.py
+++ b/libs/programs/vanillayoke/programs/conversations.py
@@ -9,10 +9,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Conversation:
-    """The messages that an engine reads.
+    """The messages that are sent to an engine.
 
     ``pending`` are the last answer's tool requests that have no call yet;
-    ``text_length`` counts the characters of all messages.
+    ``text_length`` is the number of characters of all messages.
     """
 
     messages: list[records.Message] = dataclasses.field(default_factory=list)
@@ -22,15 +22,15 @@
     text_length: int = 0
 
     def add_call(self, call: calls.Call) -> None:
-        """Append what an accepted call brings with it."""
+        """Append the messages of an accepted call."""
         self._append(call.messages)
         if call.kind is records.CallKind.MODEL:
             self.pending.clear()
         else:
-            self._take_pending(call.tool_call_id)
+            self._remove_pending(call.tool_call_id)
 
     def add_result(self, call: calls.Call) -> None:
-        """Append what a final call leaves behind."""
+        """Append the resulting messages of a final call."""
         self._append(call.list_result())
         is_model = call.kind is records.CallKind.MODEL
         if is_model and call.message is not None:
@@ -41,7 +41,7 @@
             self.messages.append(message)
             self.text_length += measure_message(message)
 
-    def _take_pending(self, tool_call_id: str) -> None:
+    def _remove_pending(self, tool_call_id: str) -> None:
         for index, request in enumerate(self.pending):
             if request.id == tool_call_id:
                 del self.pending[index]
@@ -49,9 +49,9 @@
 
 
 def measure_message(message: records.Message) -> int:
-    """Return the characters of a message that an engine reads."""
-    requests = sum(
+    """Return the number of characters of a message."""
+    request_length = sum(
         len(request.name) + len(request.arguments)
         for request in message.tool_calls
     )
-    return len(message.content) + requests
+    return len(message.content) + request_length
--- a/libs/programs/vanillayoke/programs/decisions.py
+++ b/libs/programs/vanillayoke/programs/decisions.py
@@ -1,8 +1,8 @@
 """Decisions about a call: accept it, send it, settle its outcome.
 
 Each returns records to apply and journal, or a failure. The records of one
-decision belong into one segment: a sub-agent's call and its draws on the
-budgets above it become durable together or not at all.
+decision must go into one segment, so that a sub-agent's call and its draws on
+its ancestors' budgets become durable together or not at all.
 """
 
 import typing
@@ -22,7 +22,7 @@
 
 
 class DuplicateCall(typing.NamedTuple):
-    """The key is that of an accepted call: give its answer or join it."""
+    """The key belongs to call ``number``, which was accepted before."""
 
     number: int
 
@@ -36,20 +36,19 @@
 ) -> list[records.AnyRecord] | DuplicateCall | failures.Failure:
     """Decide on a new call of a program.
 
-    ``ancestors`` are the program's, the parent first and the root last.
-    The first record is the ``CallAccepted``. A model's repeat of a call
-    whose outcome is unknown is accepted and failed by the same records, so
-    that the model reads why.
+    ``ancestors`` are ordered from the parent to the root. The first record is
+    the ``CallAccepted``. If a model repeats a call whose outcome is unknown,
+    the records accept the call and fail it, so that the model reads why.
     """
-    known = program.find_key(request.key)
-    if known is not None and known.fingerprint != request.fingerprint:
+    existing = program.find_key(request.key)
+    if existing is not None and existing.fingerprint != request.fingerprint:
         return failures.Failure(
-            failures.Kind.KEY_REUSED, f'call {known.number} has this key'
+            failures.Kind.KEY_REUSED, f'call {existing.number} has this key'
         )
-    if known is not None and not may_restart(program, known):
-        return DuplicateCall(known.number)
-    if known is not None:
-        # Its question is in the history already.
+    if existing is not None and not may_restart(program, existing):
+        return DuplicateCall(existing.number)
+    if existing is not None:
+        # The history already contains its messages.
         request = request._replace(messages=())
     failure = (
         checks.check_request(program, request)
@@ -57,65 +56,64 @@
         or checks.check_order(program, request)
     )
     if failure is None and checks.repeats_unknown_outcome(program, request):
-        return _refuse_repeat(program, request, epoch, now_wall)
+        return _reject_repeat(program, request, epoch, now_wall)
     failure = failure or checks.check_budget(
         program, ancestors, request.reserved
     )
     if failure is not None:
-        return _explain_refusal(program, known, failure)
+        return _explain_rejection(program, existing, failure)
     accepted = _make_accepted(program, request, epoch, now_wall)
     key = budget.make_key(program.id, accepted.number)
     return [accepted, *draw_budget(ancestors, key, accepted.reserved, epoch)]
 
 
-def may_restart(program: programs.Program, known: calls.Call) -> bool:
-    """Tell whether a repeated key starts anew where its call failed.
+def may_restart(program: programs.Program, existing: calls.Call) -> bool:
+    """Return whether a repeated key starts its failed call or run again.
 
-    A caller told "overloaded, come back in five seconds" comes back with
-    the same key; given the recorded refusal it would never get through.
-    Only the last call counts, when it failed in a way that may be retried
-    and either provably did not run or is idempotent. A run that goes on is
-    joined whatever its last step was: its owner may be about to begin the
-    next one, and two would drive it.
+    A caller that is asked to retry later sends the same key and must not get
+    the recorded failure forever. This applies only to the last call, if it
+    failed with a retryable error and either provably did not run or is
+    idempotent. An open run is never restarted, whatever its last step was:
+    its owner may be about to start the next step.
     """
     if program.open_run:
         return False
     last = program.calls[-1]
-    is_same = last is known or (known.run and last.run == known.run)
-    if not is_same or not last.error or known.run in program.run_ends:
+    is_same = last is existing or (existing.run and last.run == existing.run)
+    if not is_same or not last.error or existing.run in program.run_ends:
         return False
     answer = failures.ANSWERS[calls.parse_kind(last.error)]
-    harmless = last.idempotent or answer.ran is failures.Ran.NO
-    return answer.may_retry and harmless
+    is_safe = last.idempotent or answer.ran is failures.Ran.NO
+    return answer.may_retry and is_safe
 
 
-def _explain_refusal(
+def _explain_rejection(
     program: programs.Program,
-    known: calls.Call | None,
+    existing: calls.Call | None,
     failure: failures.Failure,
 ) -> DuplicateCall | failures.Failure:
-    """Return what a refused request is told.
+    """Return the result of a rejected request.
 
-    A repeated key of a call that may have run, idempotent though it is,
-    gets its recorded failure: a program that has ended since, or a budget
-    that is used up, would say "not run".
+    The repeated key of a call that may have run gets its recorded failure.
+    The new one, such as an ended program or an exhausted budget, would say
+    that the call did not run.
     """
-    if known is None:
+    if existing is None:
         return failure
     kind = calls.parse_kind(program.calls[-1].error)
     if failures.ANSWERS[kind].ran is failures.Ran.NO:
         return failure
-    return DuplicateCall(known.number)
+    return DuplicateCall(existing.number)
 
 
-def _refuse_repeat(
+def _reject_repeat(
     program: programs.Program,
     request: checks.CallProposal,
     epoch: int,
     now_wall: float,
 ) -> list[records.AnyRecord]:
-    free = request._replace(reserved=records.Spend())
-    accepted = _make_accepted(program, free, epoch, now_wall)
+    unreserved = request._replace(reserved=records.Spend())
+    accepted = _make_accepted(program, unreserved, epoch, now_wall)
     failed = records.CallFailed(
         program.id,
         epoch,
@@ -148,10 +146,10 @@
 def _answer_skipped(
     program: programs.Program,
 ) -> tuple[records.Message, ...]:
-    """Answer the tool requests that the conversation passes over.
+    """Return answers to the tool requests that were never called.
 
-    An engine refuses a conversation in which one stays unanswered, as
-    after a cancelled run.
+    Engines reject a conversation with an unanswered request, which remains,
+    for example, after a run was cancelled.
     """
     return tuple(
         calls.make_error_message(
@@ -168,12 +166,12 @@
     epoch: int,
     settled: records.Spend | None = None,
 ) -> list[records.AnyRecord]:
-    """Return the records of a sub-agent's call for all budgets above it."""
+    """Return the records of a sub-agent's call for its ancestors' budgets."""
     return [
         records.BudgetDrawn(
-            one.id, epoch, draw=key, reserved=reserved, settled=settled
+            ancestor.id, epoch, draw=key, reserved=reserved, settled=settled
         )
-        for one in ancestors
+        for ancestor in ancestors
     ]
 
 
@@ -185,11 +183,11 @@
     epoch: int,
     earlier_not_run: bool = False,
 ) -> list[records.AnyRecord] | failures.Failure:
-    """Decide on sending a call to a target, as its nth attempt from 1.
+    """Decide on sending a call to a target; attempts count from 1.
 
-    ``earlier_not_run`` tells that all earlier attempts provably did not
-    run. The record of a non-idempotent call must be durable, and the lease
-    checked, before the call is sent.
+    ``earlier_not_run`` means that all earlier attempts provably did not
+    run. Before a non-idempotent call is sent, the record must be durable and
+    the lease checked.
     """
     call = program.find_call(number)
     if call is None or call.is_final:
@@ -200,9 +198,8 @@
         return failures.Failure(
             failures.Kind.CONFLICT, f'attempt {call.attempts} was made'
         )
-    # A reply can be lost after the target did the work. Sending a
-    # non-idempotent call again would do it twice, so an intent without
-    # proof that it did not run is the last one.
+    # The target may have run the call although its reply was lost. Without
+    # proof that it did not, a non-idempotent call must not be sent again.
     if call.is_intended and not call.idempotent and not earlier_not_run:
         return failures.Failure(
             failures.Kind.OUTCOME_UNKNOWN, f'attempt {attempt - 1} may run'
@@ -228,10 +225,10 @@
     target: str,
     epoch: int,
 ) -> list[records.AnyRecord]:
-    """Record a call's whole answer.
+    """Record a call's complete answer.
 
-    There are no records where the call is final: an answer that comes
-    late, or twice, changes nothing.
+    Return no records if the call is final: late and duplicate answers have
+    no effect.
     """
     call = program.find_call(number)
     if call is None or call.is_final:
@@ -259,30 +256,30 @@
     spent: records.Spend | None = None,
     not_run: bool = False,
 ) -> list[records.AnyRecord]:
-    """Record a call's final error; no records where it is final already.
+    """Record a call's final error; return no records if it is final already.
 
-    ``not_run`` tells that the last attempt provably did not run, as
-    ``TARGET_REFUSED`` does by itself. Without that proof the failure of a
-    call that was sent is recorded as one that may have run. ``spent`` of
-    ``None`` is nothing for a call that did not run, else the whole
-    reservation, since it may have been used.
+    ``not_run`` means that the last attempt provably did not run, which
+    ``TARGET_REFUSED`` implies. Without that proof, the failure of a call that
+    was sent is recorded as one that may have run. If ``spent`` is ``None``,
+    nothing is charged for a call that did not run, and the whole reservation
+    for any other, since it may have been used.
     """
     call = program.find_call(number)
     if call is None or call.is_final:
         return []
     refused = not_run or failure.kind is failures.Kind.TARGET_REFUSED
-    proven = _is_proven_not_run(call, refused, epoch)
-    told = failure if proven else _admit_doubt(failure)
+    is_proven = _is_proven_not_run(call, refused, epoch)
+    recorded = failure if is_proven else _allow_for_execution(failure)
     if spent is None:
-        spent = records.Spend() if proven else call.reserved
+        spent = records.Spend() if is_proven else call.reserved
     failed = records.CallFailed(
         program.id,
         epoch,
         number=number,
-        error=told.kind.value,
-        reason=told.reason,
+        error=recorded.kind.value,
+        reason=recorded.reason,
         spent=spent,
-        retry_after=told.retry_after,
+        retry_after=recorded.retry_after,
     )
     key = budget.make_key(program.id, number)
     draws = draw_budget(ancestors, key, call.reserved, epoch, spent)
@@ -296,8 +293,8 @@
     return refused and call.is_intended and is_certain
 
 
-def _admit_doubt(failure: failures.Failure) -> failures.Failure:
-    """Return a failure that does not claim that the call did not run."""
+def _allow_for_execution(failure: failures.Failure) -> failures.Failure:
+    """Return a failure that leaves open whether the call ran."""
     if failure.answer.ran is not failures.Ran.NO:
         return failure
     if failure.kind is failures.Kind.DEADLINE_PASSED:
--- a/libs/programs/vanillayoke/programs/endings.py
+++ b/libs/programs/vanillayoke/programs/endings.py
@@ -1,4 +1,4 @@
-"""Decisions about ending: a running call, a run, a program, a takeover."""
+"""Decisions that end calls, runs and programs, and recover after takeovers."""
 
 import typing
 
@@ -16,14 +16,14 @@
     failure: failures.Failure,
     epoch: int,
 ) -> list[records.AnyRecord]:
-    """Fail the running call and end the open run, where there are such."""
-    found = []
+    """Fail the running call and end the open run, if there are any."""
+    decided = []
     running = program.running
     if running is not None:
-        found += _stop_call(program, ancestors, running, failure, epoch)
+        decided += _stop_call(program, ancestors, running, failure, epoch)
     if program.open_run:
-        found += end_run(program, failure, epoch)
-    return found
+        decided += end_run(program, failure, epoch)
+    return decided
 
 
 def _stop_call(
@@ -45,7 +45,7 @@
 def end_run(
     program: programs.Program, failure: failures.Failure, epoch: int
 ) -> list[records.AnyRecord]:
-    """End the open run between two steps, with what its caller is told."""
+    """End the open run between two steps with a failure for its caller."""
     if not program.open_run:
         return []
     ended = records.RunEnded(
@@ -65,27 +65,26 @@
     epoch: int,
     now_wall: float,
 ) -> list[records.AnyRecord]:
-    """End a program; no records where it has ended.
+    """End a program; return no records if it has ended already.
 
-    A call that was accepted and never sent did not run; of one that was
-    sent this is not claimed.
+    Its running call fails as not run only if it was never sent.
     """
     if not program.is_active:
         return []
-    found = []
+    decided = []
     running = program.running
     if running is not None:
         failure = failures.Failure(
-            _find_end_kind(running, epoch), f'the program ended: {reason}'
+            _get_end_kind(running, epoch), f'the program ended: {reason}'
         )
-        found += _stop_call(program, ancestors, running, failure, epoch)
+        decided += _stop_call(program, ancestors, running, failure, epoch)
     ended = records.ProgramEnded(
         program.id, epoch, reason=reason, ended_at=now_wall
     )
-    return [*found, ended]
+    return [*decided, ended]
 
 
-def _find_end_kind(running: calls.Call, epoch: int) -> failures.Kind:
+def _get_end_kind(running: calls.Call, epoch: int) -> failures.Kind:
     if running.is_unsent(epoch):
         return failures.Kind.PROGRAM_ENDED
     return failures.Kind.CANCELLED
@@ -98,20 +97,20 @@
     epoch: int,
     now_wall: float,
 ) -> list[records.AnyRecord]:
-    """End a program and its sub-agents, those farthest down first.
+    """End a program and its sub-agents, the deepest first.
 
     ``programs_by_id`` holds at least all programs of the same root.
     """
-    family = []
-    for one in programs_by_id.values():
-        above = opening.list_ancestors(programs_by_id, one.parent)
-        if one is program or program in above:
-            family.append((one, above))
-    family.sort(key=_count_ancestors, reverse=True)
-    found = []
-    for one, above in family:
-        found += end_program(one, above, reason, epoch, now_wall)
-    return found
+    members = []
+    for member in programs_by_id.values():
+        ancestors = opening.list_ancestors(programs_by_id, member.parent)
+        if member is program or program in ancestors:
+            members.append((member, ancestors))
+    members.sort(key=_count_ancestors, reverse=True)
+    decided = []
+    for member, ancestors in members:
+        decided += end_program(member, ancestors, reason, epoch, now_wall)
+    return decided
 
 
 def _count_ancestors(
@@ -125,13 +124,13 @@
     ancestors: typing.Sequence[programs.Program],
     epoch: int,
 ) -> list[records.AnyRecord]:
-    """Settle what a takeover cannot know.
+    """Fail a call whose outcome is unknown after a takeover.
 
-    A non-idempotent call with an intent and no outcome fails as unknown
-    and its whole reservation counts as spent, since it may have been. All
-    other running calls are left to run: idempotent ones may be sent again,
-    and one without an intent was never sent. Where the target can be asked
-    what became of the call, ask first and record its word instead.
+    A non-idempotent call with an intent and no outcome fails as unknown, and
+    its whole reservation counts as spent. Other running calls continue:
+    idempotent ones may be sent again, and one without an intent was never
+    sent. If the target can report the outcome of the call, record that
+    instead of calling this.
     """
     running = program.running
     if running is None or running.idempotent or not running.is_intended:
--- a/libs/programs/vanillayoke/programs/loops.py
+++ b/libs/programs/vanillayoke/programs/loops.py
@@ -1,4 +1,4 @@
-"""Runaway detection: programs that repeat themselves or burn their budget."""
+"""Runaway detection: programs that loop or spend their budget too fast."""
 
 import typing
 
@@ -11,11 +11,11 @@
 
 
 class RunawayLimits(typing.NamedTuple):
-    """What a run may do before it is stopped.
+    """Limits beyond which a run is stopped as a runaway.
 
-    A cycle of steps may not come ``repeats`` times in a row. At most
-    ``fraction`` of any budgeted resource may go in ``window`` seconds;
-    fewer than ``min_calls`` calls are never too fast.
+    A cycle of steps must occur fewer than ``repeats`` times in a row. At most
+    ``fraction`` of any budgeted resource may be spent in ``window`` seconds,
+    unless there were fewer than ``min_calls`` calls in that time.
     """
 
     repeats: int = 8
@@ -25,7 +25,7 @@
 
 
 class _Step(typing.NamedTuple):
-    """What makes two calls the same step; ids and keys do not count."""
+    """What identifies a step; ids and keys are ignored."""
 
     action: str
     arguments: str
@@ -35,51 +35,51 @@
 def find_runaway(
     program: programs.Program, limits: RunawayLimits, now_wall: float
 ) -> str | None:
-    """Return why the open run should be stopped, ``None`` to go on."""
+    """Return why the open run should be stopped, or ``None``."""
     return find_loop(program, limits.repeats) or find_fast_spending(
         program, limits, now_wall
     )
 
 
 def find_loop(program: programs.Program, repeats: int) -> str | None:
-    """Return which steps of the open run repeat themselves.
+    """Return which steps of the open run form a loop, or ``None``.
 
-    Tool calls count with their arguments and results, model answers with
-    their text and tool requests. A cycle of up to ``MAX_CYCLE_LENGTH`` steps
-    is seen as well, such as two tools that undo each other.
+    Tool calls are compared by arguments and results, model answers by text
+    and tool requests. Cycles of up to ``MAX_CYCLE_LENGTH`` steps are found,
+    such as two tools that undo each other.
     """
     for kind in (records.CallKind.TOOL, records.CallKind.MODEL):
         steps = _list_steps(program, kind, repeats * MAX_CYCLE_LENGTH)
         for length in range(1, MAX_CYCLE_LENGTH + 1):
             if _is_cycle(steps, length, repeats):
                 return (
-                    f'the last {length} {kind.value} step(s) came '
+                    f'the last {length} {kind.value} step(s) occurred '
                     f'{repeats} times in a row'
                 )
     return None
 
 
 def _list_steps(
-    program: programs.Program, kind: records.CallKind, most: int
+    program: programs.Program, kind: records.CallKind, max_count: int
 ) -> list[_Step]:
     """Return the open run's last steps of a kind, the latest first."""
-    found = []
+    steps = []
     for call in reversed(program.calls):
         if not program.open_run or call.run != program.open_run:
             break
-        if len(found) == most:
+        if len(steps) == max_count:
             break
         if call.kind is kind and call.is_final:
-            found.append(_make_step(call))
-    return found
+            steps.append(_make_step(call))
+    return steps
 
 
 def _make_step(call: calls.Call) -> _Step:
     content = call.message.content if call.message else ''
     if call.kind is records.CallKind.MODEL:
-        requests = call.message.tool_calls if call.message else ()
-        asked = '\n'.join(f'{one.name} {one.arguments}' for one in requests)
-        return _Step(content, asked, call.error)
+        tools = call.message.tool_calls if call.message else ()
+        requests = '\n'.join(f'{tool.name} {tool.arguments}' for tool in tools)
+        return _Step(content, requests, call.error)
     return _Step(call.name, call.arguments, call.error or content)
 
 
@@ -95,7 +95,7 @@
 def find_fast_spending(
     program: programs.Program, limits: RunawayLimits, now_wall: float
 ) -> str | None:
-    """Return which resource goes too fast to last to the end."""
+    """Return which resource is spent too fast, or ``None``."""
     recent = _list_recent(program, now_wall - limits.window)
     if len(recent) < limits.min_calls:
         return None
@@ -107,16 +107,16 @@
         allowed = limits.fraction * getattr(program.budget, name)
         if getattr(used, name) > allowed:
             return (
-                f'{limits.fraction:.0%} of the {name} went in less than '
+                f'{limits.fraction:.0%} of the {name} spent in less than '
                 f'{limits.window:g} s'
             )
     return None
 
 
 def _list_recent(program: programs.Program, since: float) -> list[calls.Call]:
-    found = []
+    calls_since = []
     for call in reversed(program.calls):
         if call.accepted_at < since:
             break
-        found.append(call)
-    return found
+        calls_since.append(call)
+    return calls_since
--- a/libs/programs/vanillayoke/programs/opening.py
+++ b/libs/programs/vanillayoke/programs/opening.py
@@ -14,33 +14,36 @@
 def list_ancestors(
     programs_by_id: typing.Mapping[str, programs.Program], parent: str
 ) -> tuple[programs.Program, ...]:
-    """Return a program and those above it, the root last.
+    """Return the program ``parent`` and its ancestors, the root last.
 
-    ``programs_by_id`` holds the programs of the shard, which holds a whole
-    tree. An empty ``parent`` gives none.
+    ``programs_by_id`` holds all programs of the shard, and so the whole tree.
+    The result is empty if ``parent`` is.
     """
-    found = []
+    ancestors = []
     while parent in programs_by_id:
-        found.append(programs_by_id[parent])
+        ancestors.append(programs_by_id[parent])
         parent = programs_by_id[parent].parent
-    return tuple(found)
+    return tuple(ancestors)
 
 
 def clamp_child(
     opened: records.ProgramOpened,
     ancestors: typing.Sequence[programs.Program],
 ) -> records.ProgramOpened:
-    """Return a sub-agent's opening cut to its ancestors' limits."""
-    limits = [opened.budget, *(one.budget for one in ancestors)]
-    least = records.Budget(
+    """Return a sub-agent's opening, clamped to its ancestors' limits."""
+    budgets = [opened.budget, *(ancestor.budget for ancestor in ancestors)]
+    clamped = records.Budget(
         **{
-            name: min(getattr(limit, name) for limit in limits)
+            name: min(getattr(limit, name) for limit in budgets)
             for name in budget.RESOURCES
         }
     )
-    deadlines = [opened.deadline, *(one.deadline for one in ancestors)]
+    deadlines = [
+        opened.deadline,
+        *(ancestor.deadline for ancestor in ancestors),
+    ]
     return msgspec.structs.replace(
-        opened, budget=least, deadline=min(deadlines)
+        opened, budget=clamped, deadline=min(deadlines)
     )
 
 
@@ -50,10 +53,10 @@
     ancestors: typing.Sequence[programs.Program],
     now_wall: float,
 ) -> list[records.AnyRecord] | programs.Program | failures.Failure:
-    """Decide on opening a program; a repeat gives the existing one.
+    """Decide on opening a program; a repeated key returns the existing one.
 
-    ``ancestors`` are the sub-agent's, the parent first and the root last;
-    none for a root. ``now_wall`` is wall-clock seconds since the epoch.
+    ``ancestors`` are ordered from the parent to the root; a root has none.
+    ``now_wall`` is wall-clock seconds since the epoch.
     """
     if existing is not None:
         return _check_repeat(existing, opened)
@@ -72,7 +75,8 @@
         )
     if existing.fingerprint != opened.fingerprint:
         return failures.Failure(
-            failures.Kind.KEY_REUSED, 'the program was opened otherwise'
+            failures.Kind.KEY_REUSED,
+            'the program was opened with another request',
         )
     return existing
 
@@ -111,7 +115,7 @@
         return failures.Failure(
             failures.Kind.BAD_REQUEST, 'the id names another root'
         )
-    if not all(one.is_active for one in ancestors):
+    if not all(ancestor.is_active for ancestor in ancestors):
         return failures.Failure(
             failures.Kind.PROGRAM_ENDED, 'an ancestor has ended'
         )
--- a/libs/programs/vanillayoke/programs/program.py
+++ b/libs/programs/vanillayoke/programs/program.py
@@ -32,8 +32,8 @@
 
     The first fields are those of ``ProgramOpened``; ``epoch`` is the
     highest one seen and ``sequence`` counts the records that had an
-    effect. ``cache_targets`` names the targets that may hold engine memory.
-    ``open_run`` is the key of the run that goes on, empty for none.
+    effect. ``cache_targets`` names the targets that may hold an engine cache
+    for it. ``open_run`` is the key of the run in progress, empty for none.
     """
 
     program: str
@@ -78,7 +78,7 @@
 
     @property
     def is_active(self) -> bool:
-        """Tell whether the program takes calls."""
+        """Return whether the program takes calls."""
         return self.state is ProgramState.ACTIVE
 
     @property
@@ -100,7 +100,7 @@
 
     @property
     def reserved(self) -> records.Spend:
-        """Return what running calls hold of the budget."""
+        """Return what running calls have reserved of the budget."""
         return self.ledger.reserved
 
     def remaining(self) -> records.Spend:
@@ -108,12 +108,12 @@
         return self.ledger.remaining()
 
     def history(self) -> list[records.Message]:
-        """Return the conversation in order; the texts are not copied."""
+        """Return a copy of the list of messages, in order."""
         return list(self.conversation.messages)
 
     @property
     def text_length(self) -> int:
-        """Return the characters of the whole conversation."""
+        """Return the number of characters of the whole conversation."""
         return self.conversation.text_length
 
     def find_call(self, number: int) -> call_types.Call | None:
@@ -127,21 +127,21 @@
         return self.find_call(self._numbers.get(key, 0))
 
     def apply(self, record: records.AnyRecord) -> bool:
-        """Change the state by a record; return whether it had an effect.
+        """Apply a record; return whether it had an effect.
 
-        Applying a record twice, out of date or behind a final outcome has
-        none. Snapshots are applied by ``replay``.
+        A record has none if it is repeated, is from an earlier epoch or
+        follows a final outcome. Snapshots are applied by ``replay``.
         """
-        # A holder that was paused past its lease may still get a segment
-        # out; its records carry the old epoch and come behind those of its
-        # successor, who has already decided what became of the calls.
-        if record.epoch < self.epoch or not self._change(record):
+        # An owner that was paused past its lease may still write a segment
+        # after its successor, which has already settled the calls. Its
+        # records have an earlier epoch.
+        if record.epoch < self.epoch or not self._apply(record):
             return False
         self.epoch = record.epoch
         self.sequence += 1
         return True
 
-    def _change(self, record: records.AnyRecord) -> bool:
+    def _apply(self, record: records.AnyRecord) -> bool:
         match record:
             case records.CallAccepted():
                 return self._accept(record)
@@ -164,7 +164,7 @@
         return False
 
     def restore_call(self, call: call_types.Call) -> None:
-        """Append a call of a snapshot with all it adds to the history."""
+        """Append a call of a snapshot and its messages."""
         self._append_call(call)
         if call.is_final:
             self.conversation.add_result(call)
--- a/libs/programs/vanillayoke/programs/records.py
+++ b/libs/programs/vanillayoke/programs/records.py
@@ -1,7 +1,7 @@
-"""Journal records: every change of a program, in the order it happened.
+"""Journal records: every change of a program, in order.
 
 A program's state is the result of applying its records in order; a takeover
-replays them. Records are messages, so they are msgspec structs with a tag.
+replays them. Records are msgspec structs tagged with their class name.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class CallKind(enum.Enum):
-    """What a call of a program runs on."""
+    """What executes a call of a program."""
 
     MODEL = 'model'
     TOOL = 'tool'
@@ -20,7 +20,7 @@
 class Message(msgspec.Struct, frozen=True, omit_defaults=True):
     """One message of a conversation, as in the chat completions protocol.
 
-    ``tool_calls`` holds what an assistant message asks for;
+    ``tool_calls`` holds the requests of an assistant message;
     ``tool_call_id`` names the request that a tool message answers.
     """
 
@@ -31,7 +31,7 @@
 
 
 class ToolRequest(msgspec.Struct, frozen=True):
-    """A tool call that a model asks for; ``arguments`` is JSON text."""
+    """A tool call that a model requests; ``arguments`` is JSON text."""
 
     id: str
     name: str
@@ -39,10 +39,10 @@
 
 
 class Budget(msgspec.Struct, frozen=True):
-    """Most that a program and its sub-agents may use together.
+    """The maximum that a program and its sub-agents may use together.
 
-    ``money`` is in millionths of the operator's currency unit, ``seconds``
-    the time of calls in service.
+    ``money`` is in millionths of the operator's currency unit; ``seconds`` is
+    the execution time of calls.
     """
 
     tokens: int
@@ -91,12 +91,12 @@
 
 
 class CallAccepted(Record, frozen=True, tag=True, kw_only=True):
-    """A call took its place in the program's order.
+    """A call was accepted as the program's next one.
 
     ``number`` counts the program's calls from 1. ``messages`` are appended
-    to the history; ``reserved`` is held from the root's budget. ``run`` is
+    to the history; ``reserved`` is reserved in the budget. ``run`` is
     the key of the run that the call is a step of, empty for a single call.
-    ``max_tokens`` caps a model's answer; 0 takes the agent's.
+    ``max_tokens`` limits a model's answer; 0 applies the agent's limit.
     """
 
     number: int
@@ -117,10 +117,10 @@
 class CallIntended(Record, frozen=True, tag=True, kw_only=True):
     """A call is about to be sent to a target.
 
-    For a non-idempotent call this record is durable before the call is
-    sent: without an outcome behind it, the outcome is unknown.
-    ``earlier_not_run`` tells that all earlier attempts provably did not
-    run; without it a later refusal cannot say so of the call.
+    For a non-idempotent call, this record is durable before the call is
+    sent. If no outcome follows it, the outcome is unknown.
+    ``earlier_not_run`` means that all earlier attempts provably did not
+    run; otherwise a later refusal does not prove that the call did not run.
     """
 
     number: int
@@ -130,7 +130,7 @@
 
 
 class CallAnswered(Record, frozen=True, tag=True, kw_only=True):
-    """A call has its whole answer; the reservation becomes a spend."""
+    """A call has its complete answer; the reservation is settled."""
 
     number: int
     message: Message
@@ -142,7 +142,7 @@
 class CallFailed(Record, frozen=True, tag=True, kw_only=True):
     """A call has its final error; ``error`` is a ``failures.Kind`` value.
 
-    ``retry_after`` is what its caller is told, in seconds.
+    ``retry_after`` is the delay that its caller is told, in seconds.
     """
 
     number: int
@@ -183,19 +183,19 @@
 
 
 class CacheHeld(Record, frozen=True, tag=True, kw_only=True):
-    """A target may hold engine memory for the program."""
+    """A target may hold an engine cache for the program."""
 
     target: str
 
 
 class CacheReleased(Record, frozen=True, tag=True, kw_only=True):
-    """A target confirmed that it holds no engine memory for the program."""
+    """A target confirmed that it holds no engine cache for the program."""
 
     target: str
 
 
 class ProgramSnapshot(Record, frozen=True, tag=True, kw_only=True):
-    """A program's whole state as of this record; replaces what came before.
+    """A program's whole state as of this record; replaces earlier records.
 
     ``state`` is encoded by ``vanillayoke.programs.snapshots``;
     ``sequence`` counts the records that had an effect on it.
@@ -234,5 +234,5 @@
 
 
 def decode_segment(blob: bytes) -> Segment:
-    """Decode a segment; raises ``msgspec.DecodeError`` on damage."""
+    """Decode a segment; raise ``msgspec.DecodeError`` if it is corrupt."""
     return msgspec.msgpack.decode(blob, type=Segment)
--- a/libs/programs/vanillayoke/programs/replay.py
+++ b/libs/programs/vanillayoke/programs/replay.py
@@ -1,4 +1,4 @@
-"""Replay of journal segments: the state that their records leave behind."""
+"""Replay of journal segments into program state."""
 
 import typing
 
@@ -14,29 +14,28 @@
 ) -> dict[str, programs.Program]:
     """Apply segments in order; return the programs of the shards by id.
 
-    A segment that comes twice is applied once. Records of a program whose
-    opening and snapshots are not there are passed over: they are rests of
-    one that the journal no longer keeps.
+    Duplicate segments are applied once. Records of a program without an
+    opening or a snapshot are skipped: the journal no longer keeps it.
     """
-    found: dict[str, programs.Program] = {}
+    programs_by_id: dict[str, programs.Program] = {}
     seen: set[tuple[str, int]] = set()
     for segment in segments:
-        mark = (segment.instance, segment.number)
-        if mark in seen:
+        segment_id = (segment.instance, segment.number)
+        if segment_id in seen:
             continue
-        seen.add(mark)
+        seen.add(segment_id)
         for record in segment.records:
             if ids.find_shard(record.program) in shards:
-                apply_record(found, record)
-    return found
+                apply_record(programs_by_id, record)
+    return programs_by_id
 
 
 def apply_record(
     programs_by_id: dict[str, programs.Program], record: records.AnyRecord
 ) -> bool:
-    """Apply a record to the program it names; return whether it counted.
+    """Apply a record to its program; return whether it had an effect.
 
-    Programs are added by their opening or a snapshot.
+    An opening or a snapshot of an unknown program adds it.
     """
     program = programs_by_id.get(record.program)
     if isinstance(record, records.ProgramSnapshot):
@@ -64,10 +63,11 @@
 def _is_newer(
     program: programs.Program, record: records.ProgramSnapshot
 ) -> bool:
-    """Tell whether a snapshot says more than what was applied so far.
+    """Return whether a snapshot must replace the state applied so far.
 
-    A holder's own snapshot says what it knows, so the live program stays
-    the same object. A later holder's word counts even where it is shorter.
+    An owner's own snapshot adds nothing to its state, so the program remains
+    the same object. A later owner's snapshot wins even if it has fewer
+    records.
     """
     if record.epoch == program.epoch:
         return record.sequence > program.sequence
--- a/libs/programs/vanillayoke/programs/snapshots.py
+++ b/libs/programs/vanillayoke/programs/snapshots.py
@@ -1,4 +1,4 @@
-"""A program's whole state as one record."""
+"""Snapshots: a program's whole state in one record."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 class _State(msgspec.Struct, frozen=True):
-    """What a snapshot stores; the history follows from the calls."""
+    """The stored state; the history is rebuilt from the calls."""
 
     opened: records.ProgramOpened
     state: programs.ProgramState
@@ -27,7 +27,7 @@
 def take_snapshot(
     program: programs.Program, epoch: int
 ) -> records.ProgramSnapshot:
-    """Return a record of a program's state, written under an epoch."""
+    """Return a record of a program's state, written in an epoch."""
     state = _State(
         opened=_make_opened(program),
         state=program.state,
@@ -60,7 +60,7 @@
 def restore_snapshot(record: records.ProgramSnapshot) -> programs.Program:
     """Return the program of a snapshot.
 
-    Raises ``msgspec.DecodeError`` on damage.
+    Raise ``msgspec.DecodeError`` if it is corrupt.
     """
     state = msgspec.msgpack.decode(record.state, type=_State)
     program = programs.Program.from_opened(state.opened)
--- a/libs/programs/vanillayoke/programs/transcripts.py
+++ b/libs/programs/vanillayoke/programs/transcripts.py
@@ -1,25 +1,25 @@
-"""What a turn leaves behind for the turns that continue it.
+"""Rows that store the text of a turn for the turns that continue it.
 
-A kept turn is one row or a few: the text up to and with the turn, split into
-pieces that fit a row. A long text is not repeated in each turn's row; the
-turn then names the turn before and holds only what it added.
+A stored turn has one or more rows. It holds the whole conversation up to and
+including the turn or, if that is long, only the text that the turn added and
+the id of the previous turn.
 """
 
 import typing
 
 import msgspec
 
-# Text up to this size is stored whole with each turn, so that one read finds
-# it; beyond, the bytes written again would cost more than the reads saved.
+# Up to this size, each turn stores the whole conversation, so that one read
+# returns it. Rewriting a longer one would cost more than the reads it saves.
 MAX_FULL_TEXT_BYTES = 40 * 1024
-# Room in a row for all beside the text.
+# Space in a row for everything except the text.
 ROW_OVERHEAD_BYTES = 2048
 
 
 class TurnRow(msgspec.Struct, frozen=True, array_like=True):
-    """One row of a kept turn.
+    """One row of a stored turn.
 
-    ``base`` names the turn whose text comes before this one's, '' for none.
+    ``base`` is the turn that this one's text continues, '' for none.
     ``row_count`` is the number of rows; ``time`` is the wall time in seconds.
     """
 
@@ -30,14 +30,14 @@
 
 
 class StoredTurn(typing.NamedTuple):
-    """A kept turn as read: its base, '' for none, and its own text."""
+    """A decoded turn: its base turn, '' for none, and its own text."""
 
     base: str
     text: bytes
 
 
 class CorruptTurnError(Exception):
-    """The rows of a turn are not all there or make no sense."""
+    """A row of a turn is missing or can't be decoded."""
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -52,34 +52,42 @@
     row_bytes: int,
     time: float,
 ) -> list[tuple[str, bytes]]:
-    """Return keys and values of the rows that keep a turn."""
-    is_whole = len(history) + len(new_text) <= MAX_FULL_TEXT_BYTES or not base
-    text = history + new_text if is_whole else new_text
-    named = '' if is_whole else base
-    # Values travel as base64 and the limit may count that: three quarters.
-    size = row_bytes * 3 // 4 - ROW_OVERHEAD_BYTES
-    parts = [text[at : at + size] for at in range(0, len(text), size)] or [b'']
+    """Return the keys and values of the rows that store a turn."""
+    has_full_text = (
+        len(history) + len(new_text) <= MAX_FULL_TEXT_BYTES or not base
+    )
+    text = history + new_text if has_full_text else new_text
+    stored_base = '' if has_full_text else base
+    # The row limit may apply after base64, which adds a third to the size.
+    max_part_bytes = row_bytes * 3 // 4 - ROW_OVERHEAD_BYTES
+    parts = [
+        text[offset : offset + max_part_bytes]
+        for offset in range(0, len(text), max_part_bytes)
+    ] or [b'']
     return [
         (
             make_row_key(turn, index),
-            _ENCODER.encode(TurnRow(named, len(parts), time, part)),
+            _ENCODER.encode(TurnRow(stored_base, len(parts), time, part)),
         )
         for index, part in enumerate(parts)
     ]
 
 
 def make_row_key(turn: str, index: int) -> str:
-    """Return the key of one of a turn's rows; the first is the turn's id."""
+    """Return the key of a row; the first row has the id of the turn."""
     return turn if index == 0 else f'{turn}~{index:04d}'
 
 
 def get_range_end(turn: str) -> str:
-    """Return the key behind all rows of a turn, for a range read."""
+    """Return the exclusive end of the range of a turn's row keys."""
     return f'{turn}~~'
 
 
 def decode_rows(turn: str, rows: dict[str, bytes]) -> StoredTurn | None:
-    """Return a turn from rows by key; ``None`` if it is not among them."""
+    """Decode a turn from rows by key; ``None`` if its first row is absent.
+
+    Raise ``CorruptTurnError`` if its rows are incomplete or invalid.
+    """
     first = rows.get(turn)
     if first is None:
         return None
@@ -94,7 +102,7 @@
 
 
 def decode_time(value: bytes) -> float | None:
-    """Return when a row was written; ``None`` if it can't be read."""
+    """Return when a row was written; ``None`` if it can't be decoded."""
     try:
         return _DECODER.decode(value).time
     except msgspec.DecodeError:
--- a/tests/programs/drivers.py
+++ b/tests/programs/drivers.py
@@ -1,4 +1,4 @@
-"""A stand-in for the process around the decisions: live state and journal."""
+"""A test driver that applies decisions and records them in a journal."""
 
 from vanillayoke.core import ids
 from vanillayoke.programs import checks
@@ -33,7 +33,7 @@
 
 
 def make_request(key, name='', **changes):
-    """Return a tool request where ``name`` is given, else a model's."""
+    """Return a call of the tool ``name``, or of the model if it is empty."""
     kind = records.CallKind.TOOL if name else records.CallKind.MODEL
     fields = {
         'kind': kind,
@@ -48,54 +48,56 @@
 
 
 def make_answer(call, tools=(), text='yes'):
-    """Return an answer; ``tools`` are the requests of a model's."""
+    """Return an answer; ``tools`` are the requests of a model's answer."""
     if call.kind is records.CallKind.MODEL:
         return records.Message('assistant', text, tool_calls=tuple(tools))
     return records.Message('tool', 'done', tool_call_id=call.tool_call_id)
 
 
 class Driver:
-    """Applies what was decided and keeps it as one segment a decision."""
+    """Applies decisions and stores each one's records as a segment."""
 
     def __init__(self):
-        self.known = {}
+        self.programs = {}
         self.segments = []
         self.epoch = 1
 
-    def take(self, decided):
+    def apply(self, decided):
         """Apply and journal records; return the decision unchanged."""
         if isinstance(decided, list):
             for record in decided:
-                replay.apply_record(self.known, record)
+                replay.apply_record(self.programs, record)
             self.segments.append(
                 records.Segment('i', len(self.segments), tuple(decided))
             )
         return decided
 
-    def above(self, program):
-        return opening.list_ancestors(self.known, program.parent)
+    def list_ancestors(self, program):
+        return opening.list_ancestors(self.programs, program.parent)
 
     def open(self, key='open', parent=None, **changes):
-        above = ()
+        ancestors = ()
         if parent is not None:
-            above = (parent, *self.above(parent))
+            ancestors = (parent, *self.list_ancestors(parent))
             changes['parent'] = parent.id
             changes['program'] = ids.derive_child_id(parent.id, key)
         opened = make_opened(key, epoch=self.epoch, **changes)
-        existing = self.known.get(opened.program)
-        decided = self.take(opening.open_program(existing, opened, above, NOW))
-        return self.known.get(opened.program, decided)
+        existing = self.programs.get(opened.program)
+        decided = self.apply(
+            opening.open_program(existing, opened, ancestors, NOW)
+        )
+        return self.programs.get(opened.program, decided)
 
     def accept(self, program, key, name='', now=NOW, **changes):
         request = make_request(key, name, **changes)
-        above = self.above(program)
-        return self.take(
-            decisions.accept_call(program, above, request, self.epoch, now)
+        ancestors = self.list_ancestors(program)
+        return self.apply(
+            decisions.accept_call(program, ancestors, request, self.epoch, now)
         )
 
     def intend(self, program, target='t1', earlier_not_run=False):
         call = program.running
-        return self.take(
+        return self.apply(
             decisions.intend_call(
                 program,
                 call.number,
@@ -108,10 +110,10 @@
 
     def answer(self, program, number=None, tools=(), spent=SPENT, text='yes'):
         call = program.find_call(number or len(program.calls))
-        return self.take(
+        return self.apply(
             decisions.answer_call(
                 program,
-                self.above(program),
+                self.list_ancestors(program),
                 call.number,
                 make_answer(call, tools, text),
                 'stop',
@@ -122,10 +124,10 @@
         )
 
     def fail(self, program, failure, number=None, **options):
-        return self.take(
+        return self.apply(
             decisions.fail_call(
                 program,
-                self.above(program),
+                self.list_ancestors(program),
                 number or len(program.calls),
                 failure,
                 self.epoch,
@@ -140,16 +142,16 @@
         self.answer(program, tools=tools)
 
     def end(self, program, reason='ended'):
-        return self.take(
-            endings.end_tree(self.known, program, reason, self.epoch, NOW)
+        return self.apply(
+            endings.end_tree(self.programs, program, reason, self.epoch, NOW)
         )
 
     def take_over(self, lost=0):
-        """Replay without the last segments under the next epoch."""
+        """Replay all but the ``lost`` last segments in the next epoch."""
         if lost:
             del self.segments[-lost:]
-        self.known = replay.replay(self.segments, ALL_SHARDS)
+        self.programs = replay.replay(self.segments, ALL_SHARDS)
         self.epoch += 1
-        for program in list(self.known.values()):
-            above = self.above(program)
-            self.take(endings.recover_program(program, above, self.epoch))
+        for program in list(self.programs.values()):
+            ancestors = self.list_ancestors(program)
+            self.apply(endings.recover_program(program, ancestors, self.epoch))
--- a/tests/programs/test_decisions.py
+++ b/tests/programs/test_decisions.py
@@ -11,7 +11,7 @@
 
 _KIND = failures.Kind
 _ORDER = records.ToolRequest('c1', 'order', '{"tiles": 4}')
-_AGAIN = records.ToolRequest('c2', 'order', '{ "tiles":4 }')
+_SAME_ORDER = records.ToolRequest('c2', 'order', '{ "tiles":4 }')
 _REFUSED = failures.Failure(_KIND.TARGET_REFUSED, 'no connection')
 _LATE = failures.Failure(_KIND.DEADLINE_PASSED, 'too late')
 
@@ -30,7 +30,7 @@
     return driver.accept(program, key, 'order', idempotent=False, **changes)
 
 
-def test_one_call_at_a_time(case, driver, program):
+def test_calls_run_one_at_a_time(case, driver, program):
     driver.accept(program, 'k1')
     case.assertEqual(_KIND.CALL_IN_PROGRESS, driver.accept(program, 'k2').kind)
     driver.intend(program)
@@ -39,7 +39,9 @@
     case.assertEqual(2, program.running.number)
 
 
-def test_repeated_key_joins_and_another_request_is_told(case, driver, program):
+def test_repeated_key_returns_its_call_unless_the_request_differs(
+    case, driver, program
+):
     driver.run(program, 'k1')
     case.assertEqual(decisions.DuplicateCall(1), driver.accept(program, 'k1'))
     other = driver.accept(program, 'k1', fingerprint='other')
@@ -49,23 +51,21 @@
     case.assertEqual(_KIND.PROGRAM_ENDED, driver.accept(program, 'k2').kind)
 
 
-def test_clients_cannot_take_the_key_of_a_step(case, driver, program):
+def test_clients_cannot_use_the_key_of_a_step(case, driver, program):
     step = checks.make_step_key('r', 2)
     case.assertEqual(_KIND.BAD_REQUEST, driver.accept(program, step).kind)
     case.assertEqual(_KIND.BAD_REQUEST, driver.accept(program, '').kind)
 
 
-def test_deadline_refuses_new_calls(case, driver, program):
+def test_calls_after_the_deadline_are_rejected(case, driver, program):
     late = driver.accept(program, 'k1', now=drivers.DEADLINE)
     case.assertEqual(_KIND.DEADLINE_PASSED, late.kind)
 
 
-def test_order_is_not_sent_again_without_proof(case, driver, program):
-    """A town office gets two invoices for one tile order.
-
-    The order is sent, the reply is lost on the way, and the retry sends it
-    to another target while the first one is still working on it.
-    """
+def test_order_is_not_sent_again_without_proof_that_it_did_not_run(
+    case, driver, program
+):
+    """A retry after a lost reply must not run an order twice."""
     _order(driver, program)
     driver.intend(program)
     case.assertEqual(_KIND.OUTCOME_UNKNOWN, driver.intend(program).kind)
@@ -74,7 +74,7 @@
     )
 
 
-def test_an_attempt_is_made_once(case, driver, program):
+def test_attempt_is_made_once(case, driver, program):
     driver.accept(program, 'k1')
     driver.intend(program)
     again = decisions.intend_call(program, 1, 1, 't2', 1)
@@ -84,29 +84,24 @@
     case.assertEqual(_KIND.CANCELLED, late.kind)
 
 
-def test_late_and_doubled_answers_change_nothing(case, driver, program):
-    """A designer sees an answer in the wrong turn.
-
-    A call fails at its deadline, the next one is answered, and only then
-    does the first one's answer arrive, twice.
-    """
+def test_late_and_duplicate_answers_have_no_effect(case, driver, program):
+    """The late answer to a failed call must not appear in a later turn."""
     driver.accept(program, 'k1')
     driver.intend(program)
     driver.fail(program, _LATE)
     driver.run(program, 'k2')
-    before = program.history()
+    history = program.history()
     for number in (1, 2, 1):
         case.assertEqual([], driver.answer(program, number=number))
     case.assertEqual([], driver.fail(program, _LATE, number=1))
-    case.assertEqual(before, program.history())
+    case.assertEqual(history, program.history())
     case.assertEqual(drivers.RESERVED.tokens + 60, program.committed.tokens)
 
 
-def test_not_run_is_only_said_with_proof(case, driver, program):
-    """A caller is told "not run", orders again, and gets two deliveries.
+def test_not_run_is_only_reported_with_proof(case, driver, program):
+    """The refusal of a second attempt says nothing about the first one.
 
-    The first attempt's reply was lost; the second attempt was refused, and
-    the refusal was passed on as if it spoke for both.
+    A caller that reads "not run" repeats the call, which would run twice.
     """
     driver.accept(program, 'k1')
     driver.intend(program)
@@ -134,31 +129,29 @@
     case.assertEqual([100, 0, 100, 0], charged)
 
 
-def test_successor_does_not_say_not_run_of_what_it_cannot_know(case, driver):
-    """A caller is told "not run" of a call that an engine has answered.
+def test_successor_does_not_report_not_run_after_a_lost_intent(case, driver):
+    """An idempotent call may have been sent although no intent is durable.
 
-    The intent of an idempotent call does not wait for the journal. The
-    instance sends it and dies before its next segment; its successor finds
-    a call that looks as if it was never sent.
+    Its owner can fail between sending it and writing the next segment.
     """
     program = driver.open()
     driver.accept(program, 'k1')
     driver.intend(program)
     driver.take_over(lost=1)
-    program = driver.known[program.id]
+    program = driver.programs[program.id]
     driver.fail(program, _LATE)
     case.assertEqual('deadline_passed_running', program.calls[0].error)
 
 
-def test_takeover_tells_sent_from_unsent_orders(case, driver):
+def test_takeover_distinguishes_sent_and_unsent_orders(case, driver):
     sent = driver.open('sent')
     _order(driver, sent)
     driver.intend(sent)
     unsent = driver.open('unsent')
     _order(driver, unsent)
     driver.take_over()
-    sent = driver.known[sent.id]
-    unsent = driver.known[unsent.id]
+    sent = driver.programs[sent.id]
+    unsent = driver.programs[unsent.id]
     case.assertEqual('outcome_unknown', sent.calls[0].error)
     case.assertEqual(drivers.RESERVED, sent.committed)
     case.assertEqual('accepted', unsent.running.state)
@@ -166,52 +159,42 @@
 
 
 def test_model_does_not_repeat_an_order_of_unknown_outcome(case, driver):
-    """Oak flooring is offered twice.
-
-    The instance dies while an order is on its way. The model reads that
-    the outcome is unknown and orders the same again under a new request.
-    """
+    """A model that repeats an order under a new id must not run it twice."""
     program = driver.open()
     driver.run(program, 'r', run='r', tools=[_ORDER])
-    asked = {'run': 'r', 'arguments': _ORDER.arguments}
-    _order(driver, program, 'r\n2', tool_call_id='c1', **asked)
+    options = {'run': 'r', 'arguments': _ORDER.arguments}
+    _order(driver, program, 'r\n2', tool_call_id='c1', **options)
     driver.intend(program)
     driver.take_over()
-    program = driver.known[program.id]
-    driver.run(program, 'r\n3', run='r', messages=(), tools=[_AGAIN])
-    asked['arguments'] = _AGAIN.arguments
-    _order(driver, program, 'r\n4', tool_call_id='c2', **asked)
+    program = driver.programs[program.id]
+    driver.run(program, 'r\n3', run='r', messages=(), tools=[_SAME_ORDER])
+    options['arguments'] = _SAME_ORDER.arguments
+    _order(driver, program, 'r\n4', tool_call_id='c2', **options)
     case.assertIsNone(program.running)
     case.assertEqual('conflict', program.calls[-1].error)
     case.assertIn('did not run', program.history()[-1].content)
     driver.run(program, 'r\n5', run='r', messages=())
-    by_client = _order(driver, program, 'knows', arguments=_AGAIN.arguments)
+    by_client = _order(
+        driver, program, 'knows', arguments=_SAME_ORDER.arguments
+    )
     case.assertIsInstance(by_client, list)
 
 
-def test_a_tool_request_becomes_one_call(case, driver, program):
-    """An order runs twice after a takeover.
-
-    The new owner reads the last answer's tool requests again and gives the
-    order that was carried out already a second key.
-    """
+def test_tool_request_allows_one_call(case, driver, program):
+    """A new owner must not run a completed order under a second key."""
     driver.run(program, 'r', run='r', tools=[_ORDER])
     case.assertEqual((_ORDER,), program.pending_tools)
-    asked = {'run': 'r', 'tool_call_id': 'c1'}
-    driver.run(program, 'r\n2', 'order', **asked)
+    options = {'run': 'r', 'tool_call_id': 'c1'}
+    driver.run(program, 'r\n2', 'order', **options)
     case.assertEqual((), program.pending_tools)
-    again = _order(driver, program, 'r\n3', **asked)
+    again = _order(driver, program, 'r\n3', **options)
     case.assertEqual(_KIND.BAD_REQUEST, again.kind)
 
 
-def test_a_retry_does_not_repeat_an_order_that_may_have_run(
+def test_retry_does_not_repeat_an_order_that_may_have_run(
     case, driver, program
 ):
-    """A fitter's tiles come twice after a caller's retry.
-
-    The instance lost its lease with the order on its way and said that a
-    retry may help; the retry with the same key sent the order again.
-    """
+    """A retry after a lost lease must return the recorded failure."""
     _order(driver, program)
     driver.intend(program)
     driver.fail(program, failures.Failure(_KIND.LEASE_LOST, 'lost'))
@@ -219,14 +202,10 @@
     case.assertEqual(decisions.DuplicateCall(1), again)
 
 
-def test_a_retry_on_an_ended_program_is_told_no_more_than_is_known(
+def test_retry_on_an_ended_program_gets_the_recorded_failure(
     case, driver, program
 ):
-    """A caller is told "not run" of a question that an engine has answered.
-
-    All attempts at the call failed on the way; its caller comes back with
-    the key and finds that the program has ended meanwhile.
-    """
+    """PROGRAM_ENDED would say "not run" of a call that may have run."""
     failed = failures.Failure(_KIND.TARGETS_FAILED, 'silent')
     driver.accept(program, 'k1')
     driver.intend(program)
@@ -235,30 +214,31 @@
     case.assertEqual(decisions.DuplicateCall(1), driver.accept(program, 'k1'))
 
 
-def test_a_kind_of_a_later_version_stops_nothing(case, driver, program):
+def test_unknown_error_kind_of_a_newer_version_is_tolerated(
+    case, driver, program
+):
     driver.accept(program, 'k1')
     later = records.CallFailed(
         program.id, 1, number=1, error='new_kind', reason='unheard of'
     )
-    driver.take([later])
+    driver.apply([later])
     case.assertEqual(decisions.DuplicateCall(1), driver.accept(program, 'k1'))
 
 
-def test_repeated_key_joins_a_run_that_goes_on(case, driver, program):
-    """A second order is dropped, and its run is driven by two at once.
+def test_repeated_key_joins_an_open_run(case, driver, program):
+    """A repeated key must not restart a run between two of its steps.
 
-    The first tool of a run found no target. Before the next one began, the
-    caller repeated its key, and that began a new turn of the model.
+    Two drivers would then advance the run, and a tool request be dropped.
     """
-    driver.run(program, 'r', run='r', tools=[_ORDER, _AGAIN])
+    driver.run(program, 'r', run='r', tools=[_ORDER, _SAME_ORDER])
     _order(driver, program, 'r\n2', run='r', tool_call_id='c1')
     driver.fail(program, failures.Failure(_KIND.NO_TARGET, 'none'))
     repeated = driver.accept(program, 'r', run='r')
     case.assertEqual(decisions.DuplicateCall(1), repeated)
-    case.assertEqual((_AGAIN,), program.pending_tools)
+    case.assertEqual((_SAME_ORDER,), program.pending_tools)
 
 
-def test_open_run_keeps_other_calls_out(case, driver, program):
+def test_open_run_blocks_other_calls(case, driver, program):
     driver.run(program, 'r', run='r', tools=[_ORDER])
     case.assertEqual('r', program.open_run)
     other = driver.accept(program, 'k')
@@ -270,30 +250,24 @@
     case.assertEqual(_KIND.BAD_REQUEST, late.kind)
 
 
-def test_cancelled_run_leaves_a_conversation_that_engines_take(
-    case, driver, program
-):
-    """A chat is dead after a cancelled run: each engine refuses it.
-
-    The run was cancelled while its tool call ran and another one waited;
-    the engine finds tool requests without an answer.
-    """
-    driver.run(program, 'r', run='r', tools=[_ORDER, _AGAIN])
+def test_conversation_is_valid_after_a_cancelled_run(case, driver, program):
+    """Engines reject a conversation with unanswered tool requests."""
+    driver.run(program, 'r', run='r', tools=[_ORDER, _SAME_ORDER])
     _order(driver, program, 'r\n2', run='r', tool_call_id='c1')
     driver.intend(program)
     cancelled = failures.Failure(_KIND.CANCELLED, 'by the client')
-    driver.take(endings.cancel_call(program, (), cancelled, 1))
+    driver.apply(endings.cancel_call(program, (), cancelled, 1))
     case.assertEqual('outcome_unknown', program.calls[-1].error)
     step = driver.accept(program, 'r\n3', run='r')
     case.assertEqual(cancelled, step)
     driver.run(program, 'next')
-    answered = [one.tool_call_id for one in program.history()[2:4]]
+    answered = [message.tool_call_id for message in program.history()[2:4]]
     case.assertEqual(['c1', 'c2'], answered)
     case.assertEqual('user', program.history()[4].role)
 
 
-def test_ended_program_fails_what_runs(case, driver):
-    """An operator ends a program; each call says what is known of it."""
+def test_ending_a_program_fails_its_running_call(case, driver):
+    """Each call's error must reflect what is known of its execution."""
     for key, idempotent, is_sent, error in (
         ('unsent', False, False, 'program_ended'),
         ('order', False, True, 'outcome_unknown'),
@@ -309,21 +283,22 @@
         case.assertEqual([], driver.end(program))
 
 
-def test_cache_is_held_until_its_release_is_confirmed(case, driver, program):
-    """An engine's memory stays full of a program that nobody knows.
+def test_release_is_ignored_while_a_call_runs_at_the_target(
+    case, driver, program
+):
+    """A late confirmation must not hide that the cache is in use again.
 
-    A release of the last turn is confirmed late, while the next turn
-    already fills the engine's cache again.
+    The engine's cache would otherwise never be released.
     """
     driver.run(program, 'k1')
     case.assertEqual({'t1'}, program.cache_targets)
     case.assertEqual([], caches.hold_cache(program, 't1', 1))
     driver.accept(program, 'k2')
     driver.intend(program)
-    driver.take(caches.release_cache(program, 't1', 1))
+    driver.apply(caches.release_cache(program, 't1', 1))
     case.assertEqual({'t1'}, program.cache_targets)
     driver.end(program)
-    driver.take(caches.release_cache(program, 't1', 1))
+    driver.apply(caches.release_cache(program, 't1', 1))
     case.assertEqual(set(), program.cache_targets)
 
 
--- a/tests/programs/test_loops.py
+++ b/tests/programs/test_loops.py
@@ -16,7 +16,7 @@
 
 
 def _run_steps(driver, program, names, text='yes'):
-    """Let a run's model ask for one tool after the other."""
+    """Run a model that requests the named tools one after the other."""
     driver.accept(program, 'r', run='r')
     for index, name in enumerate(names):
         request = records.ToolRequest(f'c{index}', name, '{}')
@@ -29,18 +29,14 @@
 
 
 def test_repeated_tool_step_is_a_loop(case, driver):
-    """A night's budget goes on one question asked again and again.
-
-    The model calls the same tool with the same arguments, reads the same
-    result and words each turn a little differently.
-    """
+    """Identical tool calls are a loop even if the model's text differs."""
     program = driver.open()
     _run_steps(driver, program, ['stock', 'stock'])
     case.assertIsNone(loops.find_loop(program, 3))
     other = driver.open('other')
     _run_steps(driver, other, ['prices', 'stock', 'stock', 'stock'])
-    found = loops.find_runaway(other, _LIMITS, drivers.NOW)
-    case.assertIn('1 tool', found)
+    reason = loops.find_runaway(other, _LIMITS, drivers.NOW)
+    case.assertIn('1 tool', reason)
 
 
 def test_cycle_of_two_steps_is_a_loop(case, driver):
@@ -50,13 +46,13 @@
     case.assertIsNone(loops.find_loop(program, 4))
 
 
-def test_steps_with_other_results_are_no_loop(case, driver):
+def test_different_steps_are_no_loop(case, driver):
     program = driver.open()
     _run_steps(driver, program, ['a', 'b', 'a', 'c', 'a', 'b', 'c', 'c'])
     case.assertIsNone(loops.find_loop(program, 3))
 
 
-def test_a_client_may_ask_the_same_again(case, driver):
+def test_repeated_calls_outside_a_run_are_no_loop(case, driver):
     program = driver.open()
     for index in range(5):
         driver.run(program, f'k{index}', 'stock')
--- a/tests/programs/test_machine.py
+++ b/tests/programs/test_machine.py
@@ -1,4 +1,4 @@
-"""A state machine that looks for a sequence which breaks a promise."""
+"""A state machine test that searches for violations of the invariants."""
 
 import collections
 import itertools
@@ -19,24 +19,24 @@
 from vanillayoke.programs import snapshots
 from vanillayoke.testing import fixtures
 
-_ENDS = (
+_FAILURES = (
     failures.Failure(failures.Kind.TARGET_REFUSED, 'refused'),
     failures.Failure(failures.Kind.NO_TARGET, 'none left'),
     failures.Failure(failures.Kind.OUTCOME_UNKNOWN, 'reply lost'),
     failures.Failure(failures.Kind.LEASE_LOST, 'moved meanwhile'),
 )
-_WALKS = 500
-_WALK_STEPS = 60
+_WALK_COUNT = 500
+_STEPS_PER_WALK = 60
 _BUDGET = records.Budget(tokens=350, calls=6, seconds=64.0, money=40)
-# The weights let most sequences come far; a rule for each event would not,
-# since hypothesis leaves some rules out of each sequence.
+# Weighted so that most sequences make progress. One rule per event would not
+# do, since hypothesis leaves some rules out of each sequence.
 _EVENTS = (
     8 * ('proceed',)
     + 3 * ('intend', 'send')
     + 2 * ('retry', 'answer', 'fail', 'commit')
     + ('accept', 'open', 'end', 'take_over', 'wake', 'cancel', 'snapshot')
 )
-_NOT_RUN = frozenset(
+_NOT_RUN_ERRORS = frozenset(
     kind.value
     for kind, answer in failures.ANSWERS.items()
     if answer.ran is failures.Ran.NO
@@ -44,7 +44,7 @@
 
 
 class _Choice(typing.NamedTuple):
-    """An event and what it picks; each event uses what it needs."""
+    """An event with its parameters; each event uses those it needs."""
 
     event: str
     index: int
@@ -63,30 +63,30 @@
 
 
 def _may_retry(call):
-    """Tell whether running a failed call's key again does no harm."""
+    """Return whether a failed call may be run again under its key."""
     if not call.error:
         return False
     answer = failures.ANSWERS[failures.Kind(call.error)]
-    is_harmless = call.idempotent or answer.ran is failures.Ran.NO
-    return answer.may_retry and is_harmless
+    is_safe = call.idempotent or answer.ran is failures.Ran.NO
+    return answer.may_retry and is_safe
 
 
 class Machine(stateful.RuleBasedStateMachine):
-    """One shard's holder, its journal, and targets that do what is sent.
+    """One shard's owner, its journal, and targets that run what is sent.
 
-    ``work`` counts what targets carried out, by program and key, of
-    non-idempotent calls; ``sent`` holds the programs, call numbers and
-    acceptance epochs of all that was sent and not refused; ``told`` what
-    clients were told, which is durable by then.
+    ``executions`` counts the non-idempotent calls that targets ran, by
+    program and key. ``sent`` holds the programs, call numbers and acceptance
+    epochs, and also the attempts, of all that was sent and not refused.
+    ``reported`` holds the durable outcomes that clients may have received.
     """
 
     def __init__(self):
         super().__init__()
         self.driver = drivers.Driver()
         self.durable = 0
-        self.work = collections.Counter()
+        self.executions = collections.Counter()
         self.sent = set()
-        self.told = {}
+        self.reported = {}
         self.stale = []
         self.driver.open(
             'a', parent=self.driver.open('a', budget=_BUDGET), budget=_BUDGET
@@ -107,23 +107,23 @@
     def commit(self, choice=None):
         self.check_replay()
         self.durable = len(self.driver.segments)
-        for program in self.driver.known.values():
+        for program in self.driver.programs.values():
             for call in program.calls:
                 if call.is_final:
-                    told = (call.key, call.state, call.message, call.error)
-                    self.told[program.id, call.number] = told
+                    outcome = (call.key, call.state, call.message, call.error)
+                    self.reported[program.id, call.number] = outcome
 
     def pick(self, index):
-        known = list(self.driver.known.values())
-        return known[index % len(known)]
+        programs = list(self.driver.programs.values())
+        return programs[index % len(programs)]
 
     def proceed(self, choice):
-        """Do what comes next for a program when nothing goes wrong."""
+        """Take the next regular step of a program."""
         program = self.pick(choice.index)
         call = program.running
         if call is None:
-            fresh = f'{choice.key}{len(program.calls)}'
-            self.accept(choice._replace(key=fresh))
+            key = f'{choice.key}{len(program.calls)}'
+            self.accept(choice._replace(key=key))
         elif not call.is_intended:
             self.intend(choice)
         elif choice.flag:
@@ -133,7 +133,7 @@
 
     def open(self, choice):
         parent = self.pick(choice.index) if choice.flag else None
-        if len(self.driver.known) < 4:
+        if len(self.driver.programs) < 4:
             self.driver.open(choice.key, parent=parent, budget=_BUDGET)
 
     def accept(self, choice):
@@ -149,14 +149,14 @@
             idempotent=not is_order,
             run='' if is_order else key,
         )
-        self._go_on(program)
+        self._call_next_tool(program)
 
     def retry(self, choice):
-        """Let a client that got no answer send a call once more."""
+        """Let a client that got no answer repeat a call."""
         program = self.pick(choice.index)
         call = program.find_call(len(program.calls) - choice.flag)
         if call is not None:
-            before = program.calls[-1]
+            last_call = program.calls[-1]
             was_open = program.open_run or program.running
             latest = program.find_key(call.key)
             repeated = self.driver.accept(
@@ -169,10 +169,10 @@
             )
             if repeated != decisions.DuplicateCall(latest.number):
                 assert not was_open, repeated
-                assert _may_retry(before), repeated
+                assert _may_retry(last_call), repeated
 
-    def _go_on(self, program):
-        """Make a call of the model's next tool request, as a host would."""
+    def _call_next_tool(self, program):
+        """Make a call of the model's next tool request, as its owner would."""
         for request in program.pending_tools[:1]:
             self.driver.accept(
                 program,
@@ -185,37 +185,37 @@
             )
 
     def intend(self, choice):
-        """Write an intent; a proof is only given where there is one."""
+        """Record an intent, with proof only if the call was not sent."""
         program = self.pick(choice.index)
         call = program.running
         if call is None:
             return
-        mark = (program.id, call.number, call.epoch)
+        call_id = (program.id, call.number, call.epoch)
         self.driver.intend(
             program,
             f't{choice.index}',
-            earlier_not_run=choice.flag and mark not in self.sent,
+            earlier_not_run=choice.flag and call_id not in self.sent,
         )
 
     def send(self, choice):
-        """Send what is intended; a refused call does no work."""
+        """Send the intended call; targets do not run a refused one."""
         program = self.pick(choice.index)
         call = program.running
         if call is None or not call.is_intended:
             return
-        mark = (program.id, call.number, call.epoch)
-        attempt = (*mark, call.attempts)
+        call_id = (program.id, call.number, call.epoch)
+        attempt = (*call_id, call.attempts)
         if not call.idempotent:
             self.commit()
         is_refused = choice.flag and choice.index == 1
         if is_refused or attempt in self.sent:
             return
-        self.sent |= {mark, attempt}
+        self.sent |= {call_id, attempt}
         if not call.idempotent:
-            self.work[program.id, call.key] += 1
+            self.executions[program.id, call.key] += 1
 
     def answer(self, choice):
-        """Deliver an answer: in time, late or once more."""
+        """Deliver an answer: in time, late or repeatedly."""
         program = self.pick(choice.index)
         last = len(program.calls)
         call = program.find_call(last - choice.index * choice.flag)
@@ -223,35 +223,37 @@
             return
         number = call.number
         tools = [
-            records.ToolRequest(f'c{number}-{one}', 'order', f'{one}')
-            for one in range(2 * (choice.key < 'd'))
+            records.ToolRequest(f'c{number}-{index}', 'order', f'{index}')
+            for index in range(2 * (choice.key < 'd'))
         ]
         was_final = call.is_final
         decided = self.driver.answer(program, number, tools=tools)
         assert not (was_final and decided), decided
 
     def fail(self, choice):
-        """Give up a call; only what a target can have said is reported."""
+        """Fail a call with an error that is possible in its state."""
         program = self.pick(choice.index)
         call = program.running
         if call is None:
             return
         attempt = (program.id, call.number, call.epoch, call.attempts)
         was_sent = attempt in self.sent
-        is_told = {
+        is_possible = {
             failures.Kind.TARGET_REFUSED: call.attempts and not was_sent,
             failures.Kind.OUTCOME_UNKNOWN: call.attempts,
         }
-        failure = _ENDS[ord(choice.key) % len(_ENDS)]
-        if is_told.get(failure.kind, True):
+        failure = _FAILURES[ord(choice.key) % len(_FAILURES)]
+        if is_possible.get(failure.kind, True):
             self.driver.fail(program, failure)
 
     def cancel(self, choice):
         program = self.pick(choice.index)
         failure = failures.Failure(failures.Kind.CANCELLED, 'client')
-        above = self.driver.above(program)
+        ancestors = self.driver.list_ancestors(program)
         epoch = self.driver.epoch
-        self.driver.take(endings.cancel_call(program, above, failure, epoch))
+        self.driver.apply(
+            endings.cancel_call(program, ancestors, failure, epoch)
+        )
 
     def end(self, choice):
         if choice.index == 0:
@@ -260,50 +262,54 @@
     def snapshot(self, choice):
         program = self.pick(choice.index)
         record = snapshots.take_snapshot(program, self.driver.epoch)
-        self.driver.take([record])
+        self.driver.apply([record])
 
     def take_over(self, choice):
-        """Lose the holder with all that is not durable."""
+        """Replace the owner; all that is not durable is lost."""
         self.check_replay()
         lost = self.driver.segments[self.durable :]
-        self.stale += [one for segment in lost for one in segment.records]
+        self.stale += [
+            record for segment in lost for record in segment.records
+        ]
         self.driver.take_over(lost=len(lost))
         self.durable = min(self.durable, len(self.driver.segments))
-        for program in self.driver.known.values():
+        for program in self.driver.programs.values():
             call = program.running
             assert call is None or call.idempotent or not call.is_intended
 
     def wake(self, choice):
-        """Apply a record that a lost holder wrote, behind its successor's."""
+        """Apply a lost owner's record after its successor's records."""
         if not self.stale:
             return
         record = self.stale[choice.index % len(self.stale)]
-        program = self.driver.known.get(record.program)
+        program = self.driver.programs.get(record.program)
         if program is not None and record.epoch < program.epoch:
-            assert not replay.apply_record(self.driver.known, record)
-            self.driver.take([record])
+            assert not replay.apply_record(self.driver.programs, record)
+            self.driver.apply([record])
 
     def check_replay(self):
         replayed = replay.replay(self.driver.segments, drivers.ALL_SHARDS)
-        assert replayed == self.driver.known
+        assert replayed == self.driver.programs
 
     def check(self):
-        self.work_is_done_at_most_once()
-        self.budgets_hold_and_count_the_whole_tree()
-        self.calls_keep_their_order()
-        self.what_was_told_stays()
-        self.outcomes_are_true()
-        self.engines_can_read_the_conversation()
-
-    def work_is_done_at_most_once(self):
-        assert all(count == 1 for count in self.work.values()), self.work
-
-    def budgets_hold_and_count_the_whole_tree(self):
-        for program in self.driver.known.values():
+        self.check_orders_run_at_most_once()
+        self.check_budgets_include_all_sub_agents()
+        self.check_call_order()
+        self.check_reported_outcomes_are_stable()
+        self.check_outcomes_match_executions()
+        self.check_conversations_are_valid()
+
+    def check_orders_run_at_most_once(self):
+        assert all(count == 1 for count in self.executions.values()), (
+            self.executions
+        )
+
+    def check_budgets_include_all_sub_agents(self):
+        for program in self.driver.programs.values():
             used = records.Spend()
-            for one in self.driver.known.values():
-                if program in (one, *self.driver.above(one)):
-                    for call in one.calls:
+            for other in self.driver.programs.values():
+                if program in (other, *self.driver.list_ancestors(other)):
+                    for call in other.calls:
                         final = call.is_final
                         amount = call.spent if final else call.reserved
                         used = budget.add_spend(used, amount)
@@ -311,52 +317,52 @@
             assert _to_amounts(used) == _to_amounts(counted)
             assert min(_to_amounts(program.remaining())) >= 0
 
-    def calls_keep_their_order(self):
-        for program in self.driver.known.values():
+    def check_call_order(self):
+        for program in self.driver.programs.values():
             numbers = [call.number for call in program.calls]
             assert numbers == list(range(1, len(numbers) + 1))
             assert all(call.is_final for call in program.calls[:-1])
             keys = set()
             for call in program.calls:
                 if call.key in keys:
-                    before = program.calls[call.number - 2]
-                    assert _may_retry(before), call
-                    assert before.key == call.key or before.run == call.run
+                    previous = program.calls[call.number - 2]
+                    assert _may_retry(previous), call
+                    assert previous.key == call.key or previous.run == call.run
                 keys.add(call.key)
 
-    def what_was_told_stays(self):
-        for (name, number), told in self.told.items():
-            call = self.driver.known[name].find_call(number)
-            now = (call.key, call.state, call.message, call.error)
-            assert now == told
+    def check_reported_outcomes_are_stable(self):
+        for (name, number), outcome in self.reported.items():
+            call = self.driver.programs[name].find_call(number)
+            current = (call.key, call.state, call.message, call.error)
+            assert current == outcome
 
-    def outcomes_are_true(self):
-        for program in self.driver.known.values():
+    def check_outcomes_match_executions(self):
+        for program in self.driver.programs.values():
             for call in program.calls:
-                mark = (program.id, call.number, call.epoch)
-                if call.error and mark in self.sent:
-                    assert call.error not in _NOT_RUN, call
+                call_id = (program.id, call.number, call.epoch)
+                if call.error and call_id in self.sent:
+                    assert call.error not in _NOT_RUN_ERRORS, call
                     assert call.spent == call.reserved, call
                 if call.error == 'outcome_unknown' and not call.idempotent:
                     assert call.attempts, call
 
-    def engines_can_read_the_conversation(self):
-        """Check that each tool request is answered before the next turn."""
-        for program in self.driver.known.values():
-            waiting = []
+    def check_conversations_are_valid(self):
+        """Check that all tool requests are answered before the next turn."""
+        for program in self.driver.programs.values():
+            pending = []
             for message in program.history():
                 if message.role == 'tool':
-                    waiting.remove(message.tool_call_id)
+                    pending.remove(message.tool_call_id)
                     continue
-                assert not waiting, program.history()
-                waiting = [one.id for one in message.tool_calls]
+                assert not pending, program.history()
+                pending = [tool.id for tool in message.tool_calls]
 
 
-def test_no_sequence_of_events_breaks_a_promise():
-    """An order runs twice, a budget is passed or a turn is lost.
+def test_no_generated_sequence_violates_an_invariant():
+    """Orders must run once, budgets hold and outcomes be stable.
 
-    Retries, late and doubled answers, refusals, ends, snapshots and
-    takeovers that lose the journal's last records come in any order.
+    Retries, late and duplicate answers, refusals, snapshots and takeovers
+    that lose the journal's last records occur in any order.
     """
     stateful.run_state_machine_as_test(
         Machine,
@@ -370,16 +376,12 @@
     )
 
 
-def test_no_random_walk_breaks_a_promise():
-    """The same, by sequences that hypothesis does not come to.
-
-    It draws many near repeats of a sequence, which is good for finding the
-    shortest failing one and bad for finding any; walks from seeds differ.
-    """
-    for seed in range(_WALKS):
-        source = random.Random(seed)
+def test_no_random_walk_violates_an_invariant():
+    """Random walks reach sequences that hypothesis does not generate."""
+    for seed in range(_WALK_COUNT):
+        rng = random.Random(seed)
         machine = Machine()
-        for choice in source.choices(_CHOICES, k=_WALK_STEPS):
+        for choice in rng.choices(_CHOICES, k=_STEPS_PER_WALK):
             machine.follow(choice)
         machine.teardown()
 
--- a/tests/programs/test_opening.py
+++ b/tests/programs/test_opening.py
@@ -1,4 +1,4 @@
-"""Tests of opening programs and of budgets that sub-agents share."""
+"""Tests of opening programs and of budgets shared with sub-agents."""
 
 from tests.programs import drivers
 from vanillayoke.core import failures
@@ -17,13 +17,13 @@
     return drivers.Driver()
 
 
-def test_repeated_open_gives_the_program(case, driver):
+def test_repeated_open_returns_the_program(case, driver):
     program = driver.open()
     case.assertIs(program, driver.open())
     case.assertEqual(1, len(driver.segments))
 
 
-def test_same_key_with_another_request_is_refused(case, driver):
+def test_same_key_with_another_request_is_rejected(case, driver):
     program = driver.open()
     opened = drivers.make_opened(fingerprint='other')
     failure = opening.open_program(program, opened, (), drivers.NOW)
@@ -33,7 +33,7 @@
     case.assertEqual(_KIND.NOT_FOUND, failure.kind)
 
 
-def test_openings_that_cannot_be(case, driver):
+def test_invalid_openings_are_rejected(case, driver):
     root = driver.open()
     negative = records.Budget(tokens=-1, calls=1, seconds=1.0, money=1)
     beyond = records.Budget(tokens=9999, calls=1, seconds=1.0, money=1)
@@ -59,47 +59,46 @@
     case.assertEqual(_KIND.PROGRAM_ENDED, failure.kind)
 
 
-def test_child_is_cut_to_its_ancestors(case, driver):
+def test_child_is_clamped_to_its_ancestors(case, driver):
     root = driver.open(budget=_SMALL)
     wide = drivers.make_opened('child', deadline=drivers.DEADLINE + 1)
-    cut = opening.clamp_child(wide, (root,))
-    case.assertEqual(_SMALL, cut.budget)
-    case.assertEqual(drivers.DEADLINE, cut.deadline)
+    clamped = opening.clamp_child(wide, (root,))
+    case.assertEqual(_SMALL, clamped.budget)
+    case.assertEqual(drivers.DEADLINE, clamped.deadline)
 
 
-def test_sub_agents_share_every_budget_above_them(case, driver):
-    """A program spends twice its budget through its sub-agents.
+def test_sub_agents_share_the_budgets_of_all_ancestors(case, driver):
+    """Two concurrent sub-agents must not exceed their parent's budget.
 
-    Two sub-agents of a sub-agent run at once. Each has enough left of its
-    own budget and of the root's, but together they pass their parent's.
+    Each alone is within its own budget and the root's.
     """
     root = driver.open()
     middle = driver.open('middle', parent=root, budget=_SMALL)
-    one, two = (
+    first, second = (
         driver.open(key, parent=middle, budget=_SMALL) for key in ('a', 'b')
     )
-    case.assertIsInstance(driver.accept(one, 'k'), list)
-    for above in (root, middle):
-        case.assertEqual(drivers.RESERVED, above.reserved)
-    refused = driver.accept(two, 'k')
-    case.assertEqual(_KIND.BUDGET_EXHAUSTED, refused.kind)
-    driver.intend(one)
-    driver.answer(one)
-    for above in (root, middle):
-        case.assertEqual(records.Spend(), above.reserved)
-        case.assertEqual(drivers.SPENT, above.committed)
+    case.assertIsInstance(driver.accept(first, 'k'), list)
+    for ancestor in (root, middle):
+        case.assertEqual(drivers.RESERVED, ancestor.reserved)
+    rejected = driver.accept(second, 'k')
+    case.assertEqual(_KIND.BUDGET_EXHAUSTED, rejected.kind)
+    driver.intend(first)
+    driver.answer(first)
+    for ancestor in (root, middle):
+        case.assertEqual(records.Spend(), ancestor.reserved)
+        case.assertEqual(drivers.SPENT, ancestor.committed)
     small = records.Spend(tokens=90, calls=1)
-    case.assertIsInstance(driver.accept(two, 'k2', reserved=small), list)
+    case.assertIsInstance(driver.accept(second, 'k2', reserved=small), list)
 
 
-def test_end_reaches_the_whole_tree(case, driver):
+def test_end_includes_all_sub_agents(case, driver):
     root = driver.open()
     child = driver.open('child', parent=root)
     leaf = driver.open('leaf', parent=child)
     sibling = driver.open('sibling', parent=root)
     driver.accept(leaf, 'k')
     driver.end(child)
-    active = [one.is_active for one in (root, child, leaf, sibling)]
+    active = [program.is_active for program in (root, child, leaf, sibling)]
     case.assertEqual([True, False, False, True], active)
     case.assertEqual(records.Spend(), root.reserved)
 
@@ -107,39 +106,36 @@
 def test_child_of_an_ended_program_takes_no_calls(case, driver):
     root = driver.open()
     child = driver.open('child', parent=root)
-    driver.take(endings.end_program(root, (), 'ended', 1, drivers.NOW))
-    refused = driver.accept(child, 'k')
-    case.assertEqual(_KIND.PROGRAM_ENDED, refused.kind)
+    driver.apply(endings.end_program(root, (), 'ended', 1, drivers.NOW))
+    rejected = driver.accept(child, 'k')
+    case.assertEqual(_KIND.PROGRAM_ENDED, rejected.kind)
 
 
 def test_child_without_its_parent_takes_no_calls(case, driver):
-    """A sub-agent spends past the root's budget.
-
-    Its root was dropped from memory, so nothing could be drawn on it.
-    """
+    """Nothing can be drawn on the budget of a root that is not in memory."""
     root = driver.open()
     child = driver.open('child', parent=root)
-    del driver.known[root.id]
-    refused = driver.accept(child, 'k')
-    case.assertEqual(_KIND.PROGRAM_ENDED, refused.kind)
+    del driver.programs[root.id]
+    rejected = driver.accept(child, 'k')
+    case.assertEqual(_KIND.PROGRAM_ENDED, rejected.kind)
 
 
-def test_negative_reservation_is_refused(case, driver):
-    """A budget grows with each call, since a client asked for -1 tokens."""
+def test_negative_reservation_is_rejected(case, driver):
+    """A negative reservation would increase the remaining budget."""
     program = driver.open()
-    refused = driver.accept(program, 'k', reserved=records.Spend(tokens=-1))
-    case.assertEqual(_KIND.BAD_REQUEST, refused.kind)
+    rejected = driver.accept(program, 'k', reserved=records.Spend(tokens=-1))
+    case.assertEqual(_KIND.BAD_REQUEST, rejected.kind)
 
 
-def test_overspent_budget_takes_no_more_calls(case, driver):
-    """A service that bills more than was reserved goes on being called."""
+def test_overspent_budget_allows_no_more_calls(case, driver):
+    """A service may charge more than was reserved."""
     program = driver.open()
     driver.accept(program, 'k1')
     driver.answer(program, spent=records.Spend(calls=1, money=1001))
     free = records.Spend(calls=1)
-    refused = driver.accept(program, 'k2', reserved=free)
-    case.assertEqual(_KIND.BUDGET_EXHAUSTED, refused.kind)
-    case.assertIn('money', refused.reason)
+    rejected = driver.accept(program, 'k2', reserved=free)
+    case.assertEqual(_KIND.BUDGET_EXHAUSTED, rejected.kind)
+    case.assertIn('money', rejected.reason)
 
 
 def test_ledger_keys_count_once(case):
--- a/tests/programs/test_replay.py
+++ b/tests/programs/test_replay.py
@@ -18,7 +18,7 @@
 
 
 @fixtures.fixture
-def lived(driver):
+def root(driver):
     """A program with a finished run, a sub-agent and a running order."""
     root = driver.open()
     driver.run(root, 'r1', run='r1', tools=[_ORDER])
@@ -33,103 +33,102 @@
     return root
 
 
-def test_replay_gives_the_live_state(case, driver, lived):
+def test_replay_restores_the_live_state(case, driver, root):
     replayed = replay.replay(driver.segments, drivers.ALL_SHARDS)
-    case.assertEqual(driver.known, replayed)
-    roles = [one.role for one in replayed[lived.id].history()]
+    case.assertEqual(driver.programs, replayed)
+    roles = [message.role for message in replayed[root.id].history()]
     case.assertEqual(['user', 'assistant', 'tool', 'assistant'], roles)
 
 
-def test_segments_survive_encoding(case, driver, lived):
-    driver.take([snapshots.take_snapshot(lived, 1)])
-    blobs = [records.encode_segment(one) for one in driver.segments]
+def test_segments_survive_encoding(case, driver, root):
+    driver.apply([snapshots.take_snapshot(root, 1)])
+    blobs = [records.encode_segment(segment) for segment in driver.segments]
     decoded = [records.decode_segment(blob) for blob in blobs]
-    case.assertEqual(driver.known, replay.replay(decoded, drivers.ALL_SHARDS))
+    case.assertEqual(
+        driver.programs, replay.replay(decoded, drivers.ALL_SHARDS)
+    )
 
 
-def test_snapshot_gives_an_equal_program(case, driver, lived):
-    for program in driver.known.values():
+def test_snapshot_restores_an_equal_program(case, driver, root):
+    for program in driver.programs.values():
         record = snapshots.take_snapshot(program, program.epoch)
         case.assertEqual(program, snapshots.restore_snapshot(record))
 
 
-def test_replay_from_a_snapshot_needs_nothing_before_it(case, driver, lived):
-    taken = [snapshots.take_snapshot(one, 1) for one in driver.known.values()]
-    driver.take(taken)
-    driver.run(lived, 'more')
+def test_replay_from_a_snapshot_needs_no_earlier_segments(case, driver, root):
+    taken = [
+        snapshots.take_snapshot(one, 1) for one in driver.programs.values()
+    ]
+    driver.apply(taken)
+    driver.run(root, 'more')
     tail = driver.segments[-4:]
-    case.assertEqual(driver.known, replay.replay(tail, drivers.ALL_SHARDS))
+    case.assertEqual(driver.programs, replay.replay(tail, drivers.ALL_SHARDS))
 
 
-def test_replay_keeps_to_its_shards(case, driver, lived):
+def test_replay_ignores_other_shards(case, driver, root):
     other = driver.open('another', client='shiretoko')
     shard = ids.find_shard(other.id)
-    case.assertNotEqual(shard, ids.find_shard(lived.id))
+    case.assertNotEqual(shard, ids.find_shard(root.id))
     replayed = replay.replay(driver.segments, frozenset((shard,)))
     case.assertEqual({other.id: other}, replayed)
 
 
-def test_repeated_segments_change_nothing(case, driver, lived):
-    """An engine's memory stays full of a program that has ended.
+def test_duplicate_segments_have_no_effect(case, driver, root):
+    """A segment may be written twice, for example after a lost reply.
 
-    The reply to a segment's write is lost and the writer puts it again.
-    The taker reads the second copy's release behind a later hold, and
-    nobody releases that.
+    A duplicate release after a later hold would leak the engine's cache.
     """
     released = len(driver.segments)
-    driver.take(caches.release_cache(lived, 't1', 1))
-    driver.take(caches.hold_cache(lived, 't1', 1))
-    for again in (driver.segments, driver.segments[released:][:1]):
-        segments = driver.segments + again
+    driver.apply(caches.release_cache(root, 't1', 1))
+    driver.apply(caches.hold_cache(root, 't1', 1))
+    for duplicates in (driver.segments, driver.segments[released:][:1]):
+        segments = driver.segments + duplicates
         replayed = replay.replay(segments, drivers.ALL_SHARDS)
-        case.assertEqual(driver.known, replayed)
+        case.assertEqual(driver.programs, replayed)
 
 
-def test_repeated_records_change_nothing(case, driver, lived):
-    before = replay.replay(driver.segments, drivers.ALL_SHARDS)
+def test_duplicate_records_have_no_effect(case, driver, root):
+    expected = replay.replay(driver.segments, drivers.ALL_SHARDS)
     for segment in driver.segments:
         for record in segment.records:
-            effect = replay.apply_record(driver.known, record)
-            case.assertFalse(effect, record)
-    case.assertEqual(before, driver.known)
+            had_effect = replay.apply_record(driver.programs, record)
+            case.assertFalse(had_effect, record)
+    case.assertEqual(expected, driver.programs)
 
 
-def test_an_older_snapshot_does_not_take_history_back(case, driver, lived):
-    """A program forgets its last turns.
+def test_older_snapshot_does_not_revert_the_history(case, driver, root):
+    """A snapshot may be applied again after later records.
 
-    A snapshot that was taken earlier is applied again behind later
-    records, since its segment was put twice under two numbers.
+    This happens if its segment was written twice under two numbers.
     """
-    early = snapshots.take_snapshot(lived, 1)
-    driver.run(lived, 'later')
-    before = lived.history()
-    driver.take([early])
-    case.assertEqual(before, driver.known[lived.id].history())
+    early = snapshots.take_snapshot(root, 1)
+    driver.run(root, 'later')
+    history = root.history()
+    driver.apply([early])
+    case.assertEqual(history, driver.programs[root.id].history())
 
 
-def test_records_of_unknown_programs_are_passed_over(case, driver, lived):
+def test_records_of_unknown_programs_are_skipped(case, driver, root):
     tail = driver.segments[1:4]
     case.assertEqual({}, replay.replay(tail, drivers.ALL_SHARDS))
 
 
-def test_records_of_a_former_holder_change_nothing(case, driver, lived):
-    """A bookkeeper sees an order answered that the system calls unknown.
+def test_records_of_a_former_owner_have_no_effect(case, driver, root):
+    """An instance paused past its lease may still write a segment.
 
-    An instance is paused past its lease with an order on its way. Its
-    successor fails the order as unknown; then the paused one wakes up and
-    its last segment comes out behind the successor's.
+    Its successor has already recorded another outcome for the same call.
     """
-    child = driver.known[ids.derive_child_id(lived.id, 'child')]
+    child = driver.programs[ids.derive_child_id(root.id, 'child')]
     stale = drivers.Driver()
-    stale.known = driver.known
+    stale.programs = driver.programs
     late = stale.answer(child)
     driver.segments = driver.segments[:]
     driver.take_over()
-    driver.take(late)
-    recovered = driver.known[child.id]
+    driver.apply(late)
+    recovered = driver.programs[child.id]
     case.assertEqual('outcome_unknown', recovered.calls[-1].error)
     replayed = replay.replay(driver.segments, drivers.ALL_SHARDS)
-    case.assertEqual(driver.known, replayed)
+    case.assertEqual(driver.programs, replayed)
 
 
 load_tests = fixtures.adapt(__name__)
--- a/tests/programs/test_transcripts.py
+++ b/tests/programs/test_transcripts.py
@@ -1,4 +1,4 @@
-"""Tests of keeping turns in rows."""
+"""Tests of storing turns in rows."""
 
 import hypothesis
 from hypothesis import strategies
@@ -9,9 +9,9 @@
 ROW_BYTES = 65536
 
 
-def _keep(turn, base, before, added):
+def _make_rows(turn, base, history, new_text):
     return dict(
-        transcripts.make_rows(turn, base, before, added, ROW_BYTES, 7.0)
+        transcripts.make_rows(turn, base, history, new_text, ROW_BYTES, 7.0)
     )
 
 
@@ -27,37 +27,37 @@
         text = b''
         base = ''
         for number, size in enumerate(sizes):
-            added = bytes([number]) * size
-            rows |= _keep(f't{number}', base, text, added)
-            text += added
+            new_text = bytes([number]) * size
+            rows |= _make_rows(f't{number}', base, text, new_text)
+            text += new_text
             base = f't{number}'
-        found = []
-        wanted = base
-        while wanted:
-            stored = transcripts.decode_rows(wanted, rows)
-            found.append(stored.text)
-            wanted = stored.base
-        case.assertEqual(text, b''.join(reversed(found)))
+        texts = []
+        turn = base
+        while turn:
+            stored = transcripts.decode_rows(turn, rows)
+            texts.append(stored.text)
+            turn = stored.base
+        case.assertEqual(text, b''.join(reversed(texts)))
 
     check()
 
 
-def test_rows_fit_as_they_travel(case):
-    rows = _keep('t', '', b'', b'x' * 500_000)
+def test_rows_fit_the_limit_after_base64(case):
+    rows = _make_rows('t', '', b'', b'x' * 500_000)
     for value in rows.values():
         case.assertLessEqual(len(value) * 4 / 3, ROW_BYTES)
 
 
-def test_rows_of_a_turn_lie_between_its_key_and_the_end(case):
-    rows = _keep('t', '', b'', b'x' * 500_000)
+def test_rows_of_a_turn_lie_in_its_key_range(case):
+    rows = _make_rows('t', '', b'', b'x' * 500_000)
     for key in rows:
         case.assertLessEqual('t', key)
         case.assertLess(key, transcripts.get_range_end('t'))
 
 
-def test_missing_or_broken_row_is_no_turn(case):
+def test_missing_and_corrupt_rows_are_detected(case):
     case.assertIsNone(transcripts.decode_rows('t', {}))
-    rows = _keep('t', '', b'', b'x' * 500_000)
+    rows = _make_rows('t', '', b'', b'x' * 500_000)
     del rows[transcripts.make_row_key('t', 1)]
     with case.assertRaises(transcripts.CorruptTurnError):
         transcripts.decode_rows('t', rows)
