--- a/libs/gateway/vanillayoke/gateway/plain.py
+++ b/libs/gateway/vanillayoke/gateway/plain.py
@@ -76,7 +76,7 @@
                 async with asyncio.timeout(self._find_patience(progress)):
                     return await self._exchange(progress, attempt, sending)
             except TimeoutError as error:
-                attempt.pace = tallies.MOST_SLOWNESS
+                attempt.pace = tallies.MAX_LATENCY_RATIO
                 raise client.TimedOut('no answer for too long') from error
 
     async def _exchange(
--- a/libs/scheduling/vanillayoke/scheduling/occupancy.py
+++ b/libs/scheduling/vanillayoke/scheduling/occupancy.py
@@ -1,8 +1,8 @@
-"""How full targets are, from reports that age and work sent since.
+"""Estimation of target load and selection of a target for a request.
 
-Each answer reports the target's running and waiting requests as of that
-moment. Many instances send to the same targets, so a report soon says little
-about now; what this instance sent itself since then is exact.
+Each response carries a load report: the running and waiting requests of the
+target. Other instances send to the same target, so the weight of a report
+decays with its age. Requests sent by this instance are counted exactly.
 """
 
 import collections
@@ -13,19 +13,15 @@
 from vanillayoke.scheduling import tallies
 from vanillayoke.scheduling import verdicts as verdicts_module
 
-# A report's weight halves within this time: about how long a short request
-# runs. Seconds.
-REPORT_HALF_LIFE = 0.5
-# How long a target that shed work is passed over, if others are to be had.
-# Seconds.
-SHED_PAUSE = 0.05
-# A failure is worth a report unless the target did well here within this
-# time: one answer lost among good ones is no sickness. Seconds.
-GOOD_MEMORY = 2.0
+REPORT_HALF_LIFE_SECONDS = 0.5
+SHED_PAUSE_SECONDS = 0.05
+# A single failure within this time of a success is not reported to other
+# instances.
+RECENT_SUCCESS_SECONDS = 2.0
 
 
 class Report(typing.NamedTuple):
-    """What a target said of itself at a time."""
+    """A target's load as reported in a response."""
 
     running: int
     waiting: int
@@ -33,7 +29,7 @@
 
 
 class Place(typing.NamedTuple):
-    """A target that work may go to."""
+    """A target that a request may be sent to."""
 
     name: str
     slots: int
@@ -49,14 +45,15 @@
         self.slots: int | None = None
         self.shed_until = float('-inf')
         self.health = health.Health()
-        self.good_at = float('-inf')
+        self.last_success_at = float('-inf')
 
 
 class Occupancy:
-    """An instance's view of how much work its targets have.
+    """One instance's view of the load and health of its targets.
 
-    ``verdicts`` holds what all instances found out together; what is new of
-    it goes to ``publish``. ``count_instances`` says how many there are.
+    ``shared_health`` holds the health states that the instances agree on;
+    ``publish`` is called with each state that this instance changes.
+    ``count_instances`` returns the number of live instances.
     """
 
     def __init__(
@@ -73,91 +70,93 @@
         self._publish = publish
 
     def begin(self, name: str) -> None:
-        """Note that a request is sent."""
-        self._find(name).under_way += 1
+        """Record that a request is sent to a target."""
+        self._get_state(name).under_way += 1
 
     def end(self, name: str) -> None:
-        """Note that a request is over, however it ended."""
-        self._find(name).under_way -= 1
+        """Record that a request has ended, successfully or not."""
+        self._get_state(name).under_way -= 1
 
     def report(self, name: str, report: Report, now: float) -> None:
-        """Take what a target said of itself in an answer."""
-        state = self._find(name)
+        """Store the load report from a response."""
+        state = self._get_state(name)
         state.reported = report.running + report.waiting
         state.reported_at = now
         state.own_at_report = state.under_way
         state.slots = report.slots
 
     def note_shed(self, name: str, now: float) -> None:
-        """Note that a target had no room."""
-        self._find(name).shed_until = now + SHED_PAUSE
+        """Record that a target shed a request because it was full."""
+        self._get_state(name).shed_until = now + SHED_PAUSE_SECONDS
 
     def note_unreachable(self, name: str, now: float) -> None:
-        """Note that a target takes no connection or says nothing at all."""
-        self._find(name).health.note_unreachable(now)
-        self._report(name, now)
+        """Record that a target refused a connection or did not respond."""
+        self._get_state(name).health.note_unreachable(now)
+        self._report_failure(name, now)
 
     def note_outcome(self, name: str, is_good: bool, now: float) -> None:
-        """Note how a request that a target took has ended there."""
-        state = self._find(name)
+        """Record whether a request that a target accepted succeeded."""
+        state = self._get_state(name)
         is_paused = state.health.note_outcome(is_good, now)
         if is_good:
-            state.good_at = now
-            self._tell(self.verdicts.note_good(name, now))
-        elif is_paused or now - state.good_at > GOOD_MEMORY:
-            self._report(name, now)
+            state.last_success_at = now
+            self._publish_change(self.verdicts.note_good(name, now))
+        elif is_paused or now - state.last_success_at > RECENT_SUCCESS_SECONDS:
+            self._report_failure(name, now)
 
     def note_trial(self, name: str, now: float) -> None:
-        """Note that a request is sent, which may be a sick target's trial."""
+        """Record a sent request, which probes a target if it is unhealthy."""
         self.verdicts.note_trial(name, now, self._count_instances())
 
-    def _report(self, name: str, now: float) -> None:
+    def _report_failure(self, name: str, now: float) -> None:
         count = self._count_instances()
-        self._tell(self.verdicts.report(name, now, count))
+        self._publish_change(self.verdicts.report(name, now, count))
 
-    def _tell(self, verdict: verdicts_module.Verdict | None) -> None:
-        if verdict is not None:
-            self._publish(verdict)
+    def _publish_change(self, state: verdicts_module.Verdict | None) -> None:
+        if state is not None:
+            self._publish(state)
 
     def forget(self, names: typing.Container[str]) -> None:
-        """Forget the targets that are not among ``names`` any more."""
+        """Discard the state of targets that are not in ``names``."""
         for name, state in list(self._states.items()):
             if name not in names and state.under_way <= 0:
                 del self._states[name]
         self.verdicts.forget(names)
 
     def restart(self, name: str) -> None:
-        """Forget what a target's former process did and had.
+        """Discard what is known of a target's previous process.
 
-        Requests under way there stay counted until they end here.
+        Requests in flight stay counted until they end.
         """
         state = self._states.pop(name, None)
         if state is not None and state.under_way > 0:
-            self._find(name).under_way = state.under_way
+            self._get_state(name).under_way = state.under_way
         self.verdicts.restart(name)
 
     def estimate(self, name: str, now: float) -> float:
-        """Return how many requests a target has about now."""
+        """Return the estimated number of requests at a target."""
         state = self._states.get(name)
         if state is None:
             return 0.0
         age = max(0.0, now - state.reported_at)
         others = max(0.0, state.reported - state.own_at_report)
-        return state.under_way + others * 0.5 ** (age / REPORT_HALF_LIFE)
+        return state.under_way + others * 0.5 ** (
+            age / REPORT_HALF_LIFE_SECONDS
+        )
 
     def fill(self, place: Place, now: float) -> float:
-        """Return requests a slot at a target; over 1 means that some wait."""
+        """Return requests per slot; above 1 means that some are queued."""
         return self.estimate(place.name, now) / self.find_slots(place)
 
     def find_slots(self, place: Place) -> int:
-        """Return how many requests a target works on at once."""
+        """Return how many requests a target runs concurrently."""
         state = self._states.get(place.name)
         if state is not None and state.slots:
             return state.slots
         return max(1, place.slots)
 
     def is_doubtful(self, name: str, now: float) -> bool:
-        """Say whether a target is better left alone now."""
+        """Return whether no request should be sent to a target now."""
         if self.verdicts.is_sick(name, self._count_instances()):
             return not self.verdicts.may_try(name, now)
         state = self._states.get(name)
@@ -166,11 +165,11 @@
         return state.health.is_doubtful(now, state.under_way)
 
     def has_shed(self, name: str, now: float) -> bool:
-        """Say whether a target had no room a moment ago."""
+        """Return whether a target shed within ``SHED_PAUSE_SECONDS``."""
         state = self._states.get(name)
         return state is not None and now < state.shed_until
 
-    def _find(self, name: str) -> _State:
+    def _get_state(self, name: str) -> _State:
         state = self._states.get(name)
         if state is None:
             state = self._states[name] = _State()
@@ -178,13 +177,15 @@
 
 
 class Wish(typing.NamedTuple):
-    """What a request would like of its place.
-
-    ``favourite`` holds its session's cache; ``zone`` is the instance's own.
-    ``slope`` is the share of its time by which each other request at its
-    target slows it down. ``shared`` names the part that its prompt shares
-    with others, and ``step`` is what each step down that part's order of
-    targets costs. ``own`` is what its own part is worth where it is held.
+    """What makes one target preferable to another for a request.
+
+    ``favourite`` is the target that holds the session's cache, ``zone`` the
+    instance's own zone. ``slope`` is the relative latency that each further
+    request at the target adds. ``shared`` names the prompt prefix shared with
+    other programs, and ``step`` is the cost of each rank in that prefix's
+    order of targets. ``own`` is the value of finding the rest of the prompt
+    in the cache. Costs and values are relative to the duration of a turn on
+    an idle target.
     """
 
     favourite: str | None
@@ -195,41 +196,33 @@
     own: float = 0.0
 
 
-# A place that holds a session's cache is taken unless another one is emptier
-# by this many requests a slot; reading the history again takes about the
-# time of that much queueing.
-FAVOURITE_LEAD = 0.25
-# Places of the own zone are taken unless others are emptier by this much;
-# bytes between zones cost.
-ZONE_LEAD = 0.08
-# Places of other zones are asked about once the best of the own zone is slower
-# than idle by this share: it takes some of them to be that much quicker, for
-# the bytes between zones and the questions.
-FAR_COST = 0.25
-# Below this fill nobody waits for a slot; what the others there cost is
-# their share of each step, which is learned.
-LIGHT_FILL = 0.4
-# The share of places that have to be sound for the others to be left alone.
-FEWEST_SOUND = 0.5
-# Places that are about alike are drawn from, so that many instances with the
-# same old view do not all send to one.
-DRAW_WIDTH = 0.05
-
-
-# How many places of the own zone, and then of others, are looked at closely
-# for a request: of so many drawn at random, the emptiest seldom has a queue
-# while any has room, and no two instances draw alike.
-CANDIDATES = 3
-# What a place without a free slot counts more than any with one: its requests
-# wait for about half of another one's time.
+# Subtracted from the score of the target with the session's cache. Scores are
+# in requests per slot; the lowest score wins.
+AFFINITY_BONUS = 0.25
+LOCAL_ZONE_BONUS = 0.08
+# Remote targets are considered if other requests slow the best local one
+# down by more than this.
+MAX_LOCAL_SLOWDOWN_RATIO = 0.25
+# Below this utilisation no request waits for a slot.
+LOW_UTILISATION = 0.4
+# If fewer targets than this are healthy, health is ignored.
+MIN_HEALTHY_RATIO = 0.5
+# Random addition to scores, so that instances with the same outdated view do
+# not all choose the same target.
+MAX_JITTER = 0.05
+# Candidates per group (local, remote). Comparing a few random targets avoids
+# long queues without all instances choosing the same one.
+MAX_CANDIDATES = 3
+# Added to the score of a target without a free slot.
 FULL_PENALTY = 1.0
 
 
 class Candidates(typing.NamedTuple):
-    """Places worth asking about.
+    """Targets whose current load is to be queried.
 
-    ``near`` ones are asked first: the one with the session's cache and some
-    of the own zone. ``far`` ones are worth it if no near one has room.
+    ``near`` holds the target with the session's cache and some of the
+    instance's own zone; ``far`` is needed only if none of these is lightly
+    loaded.
     """
 
     near: list[Place]
@@ -244,39 +237,41 @@
     now: float,
     draw: typing.Callable[[], float],
 ) -> Candidates:
-    """Return the places worth asking about; none if there is none.
+    """Return the targets whose load is to be queried; may be empty.
 
-    Those in ``passed`` are out of the question. Doubtful ones are used only
-    where too many are: one instance's view must not empty a service.
+    Targets in ``passed`` are left out. Unhealthy targets are used only if
+    too many are unhealthy: the view of one instance must not take a whole
+    service out of use.
     """
     ready = _list_ready(places, occupancy, passed, now)
     ready.sort(key=lambda place: draw())
     if wish.step > 0:
-        steps = find_steps(ready, wish)
-        ready.sort(key=lambda place: steps[place.name])
+        ranks = find_steps(ready, wish)
+        ready.sort(key=lambda place: ranks[place.name])
     favourite = [place for place in ready if place.name == wish.favourite]
     others = [place for place in ready if place.name != wish.favourite]
     near = [place for place in others if place.zone == wish.zone]
     far = [place for place in others if place.zone != wish.zone]
     return Candidates(
-        favourite + near[:CANDIDATES], near[CANDIDATES:] + far[:CANDIDATES]
+        favourite + near[:MAX_CANDIDATES],
+        near[MAX_CANDIDATES:] + far[:MAX_CANDIDATES],
     )
 
 
 def find_steps(places: typing.Iterable[Place], wish: Wish) -> dict[str, int]:
-    """Return how far down its zone's order each place is for a prefix.
+    """Return the rank of each target within its zone for a shared prefix.
 
-    Each zone has an order of its own, so that each has engines that hold the
+    Targets are ranked per zone, so that each zone has engines that hold the
     prefix.
     """
-    found: dict[str, int] = {}
+    ranks: dict[str, int] = {}
     counts: collections.Counter[str] = collections.Counter()
     zones = {place.name: place.zone for place in places}
     for name in prefixes.order(wish.shared, zones):
         zone = zones[name]
-        found[name] = min(counts[zone], prefixes.MOST_STEPS)
+        ranks[name] = min(counts[zone], prefixes.MAX_RANK)
         counts[zone] += 1
-    return found
+    return ranks
 
 
 def _list_ready(
@@ -285,12 +280,16 @@
     passed: typing.Container[str],
     now: float,
 ) -> list[Place]:
-    """Return the places that do their work and have not just shed some."""
+    """Return the targets that are healthy and have not just shed requests."""
     usable = [place for place in places if place.name not in passed]
-    sound = [one for one in usable if not occupancy.is_doubtful(one.name, now)]
-    if len(sound) < FEWEST_SOUND * len(usable):
-        sound = usable
-    return [one for one in sound if not occupancy.has_shed(one.name, now)]
+    healthy = [
+        place for place in usable if not occupancy.is_doubtful(place.name, now)
+    ]
+    if len(healthy) < MIN_HEALTHY_RATIO * len(usable):
+        healthy = usable
+    return [
+        place for place in healthy if not occupancy.has_shed(place.name, now)
+    ]
 
 
 def is_light(
@@ -299,16 +298,16 @@
     view: Occupancy,
     wish: Wish,
 ) -> bool:
-    """Say whether a place is so quick that no other need be looked at.
+    """Return whether a target is good enough to skip the remote candidates.
 
-    It has a free slot, works at its usual pace, and its other requests do
-    not slow it down by more than what a place farther off costs.
+    It has a free slot, shows no raised latency, and its other requests slow
+    it down by less than ``MAX_LOCAL_SLOWDOWN_RATIO``.
     """
     load = loads.get(place.name)
     if load is None or load.slowness != 1.0:
         return False
-    is_quick = wish.slope * load.requests < FAR_COST
-    return load.requests < view.find_slots(place) and is_quick
+    is_fast = wish.slope * load.requests < MAX_LOCAL_SLOWDOWN_RATIO
+    return load.requests < view.find_slots(place) and is_fast
 
 
 def choose_counted(
@@ -319,31 +318,31 @@
     now: float,
     draw: typing.Callable[[], float],
 ) -> Place | None:
-    """Return the best of a few places by how much work they have.
+    """Return the target with the lowest score, ``None`` without targets.
 
-    Those without a load are judged by this instance's own view. A place that
-    is so many times slower than usual is as good as one that has so many
-    times the requests.
+    Targets that are missing in ``loads`` are judged by this instance's own
+    view. A target with a latency ratio of n scores like one with n times the
+    requests.
     """
     best = None
     lowest = 0.0
-    steps = find_steps(places, wish) if wish.step > 0 else {}
+    ranks = find_steps(places, wish) if wish.step > 0 else {}
     for place in places:
         slots = occupancy.find_slots(place)
         load = loads.get(place.name)
         if load is None:
             load = tallies.Load(occupancy.estimate(place.name, now))
-        score = max(LIGHT_FILL, load.requests / slots)
+        score = max(LOW_UTILISATION, load.requests / slots)
         score += wish.slope * load.requests
         if load.requests >= slots:
             score += FULL_PENALTY
-        score = score * load.slowness + DRAW_WIDTH * draw()
+        score = score * load.slowness + MAX_JITTER * draw()
         if place.name == wish.favourite:
-            score -= FAVOURITE_LEAD + wish.own
+            score -= AFFINITY_BONUS + wish.own
         else:
-            score += wish.step * steps.get(place.name, 0)
+            score += wish.step * ranks.get(place.name, 0)
         if place.zone == wish.zone:
-            score -= ZONE_LEAD
+            score -= LOCAL_ZONE_BONUS
         if best is None or score < lowest:
             best, lowest = place, score
     return best
@@ -357,9 +356,6 @@
     now: float,
     draw: typing.Callable[[], float],
 ) -> Place | None:
-    """Return the best place by this instance's own view alone.
-
-    This is how places are judged whose homes do not answer.
-    """
+    """Return the best target by this instance's own view alone."""
     ready = _list_ready(places, occupancy, passed, now)
     return choose_counted(ready, {}, occupancy, wish, now, draw)
--- a/libs/scheduling/vanillayoke/scheduling/prefixes.py
+++ b/libs/scheduling/vanillayoke/scheduling/prefixes.py
@@ -29,7 +29,7 @@
 # unit: what has to be read again for it, and pushes others out of memory.
 MOST_OWN = 1.0
 # Behind so many engines one is as bad as another.
-MOST_STEPS = 3
+MAX_RANK = 3
 
 
 class Shared(typing.NamedTuple):
--- a/libs/scheduling/vanillayoke/scheduling/tallies.py
+++ b/libs/scheduling/vanillayoke/scheduling/tallies.py
@@ -1,63 +1,61 @@
-"""How many requests each target has, counted at one place for all instances.
+"""Request counts of targets, aggregated over all instances.
 
-Each target has a home among the instances, to which all of them tell what
-they send there and when it has ended. So its count is as exact as datagrams
-are quick, where the reports that one of many instances gets are seconds old.
+Each target has a coordinator among the instances. The others notify it of
+each request that they send to the target and of its end, so its count is more
+recent than the load reports that a single instance receives.
 """
 
 import typing
 
-# A target's own report counts for less and less: it tells of requests whose
-# beginning went to another home. Seconds.
-REPORT_HALF_LIFE = 0.2
-# Weight of the newest request in a target's pace: some ten requests tell a
-# target that is four times slower from one that had a few long requests.
-PACE_STEP = 0.1
-# A pace is forgotten by half within this time without a request, so that a
-# target that nobody uses for being slow is tried again. Seconds.
-PACE_HALF_LIFE = 2.0
-# Requests differ by so much by themselves that less is no slowness.
-LEAST_SLOWNESS = 2.0
-# One request counts as at most so many times slower than usual.
-MOST_SLOWNESS = 8.0
+# Load reports cover requests whose start was sent to a previous coordinator.
+REPORT_HALF_LIFE_SECONDS = 0.2
+# Weight of the newest request in the moving average of latency ratios.
+LATENCY_RATIO_WEIGHT = 0.1
+# Without requests the latency ratio decays towards 1, so that a slow target
+# is tried again.
+LATENCY_RATIO_HALF_LIFE_SECONDS = 2.0
+# Lower latency ratios are within the normal variation of requests.
+MIN_SLOW_LATENCY_RATIO = 2.0
+# Latency ratios of single requests are clipped to this value.
+MAX_LATENCY_RATIO = 8.0
 
 
 class Load(typing.NamedTuple):
-    """What a home knows of a target.
+    """The load of a target as its coordinator knows it.
 
-    ``slowness`` is the time that its requests take against what such ones
-    usually take, 1 if it is about as usual.
+    ``slowness`` is the duration of its requests relative to the average of
+    such requests; 1 while it is within the normal variation.
     """
 
     requests: float
     slowness: float = 1.0
 
 
-class _Tally:
+class _TargetCounts:
     def __init__(self) -> None:
-        # Until when each request may last. One whose end was not told is over
-        # by then: its instance died, or the datagram was lost.
+        # The deadline of each request. It is the end of requests whose end
+        # was not reported because an instance failed or a datagram was lost.
         self.running: dict[str, float] = {}
         self.reported = 0.0
         self.reported_at = float('-inf')
-        self.pace = 1.0
-        self.paced_at = 0.0
+        self.average_ratio = 1.0
+        self.ratio_updated_at = 0.0
 
 
 class Tallies:
-    """Counts for the targets whose home this instance is."""
+    """Counts for the targets that this instance coordinates."""
 
     def __init__(self) -> None:
-        self._tallies: dict[str, _Tally] = {}
+        self._targets: dict[str, _TargetCounts] = {}
 
     def begin(
-        self, target: str, request: str, until: float, now: float
+        self, target: str, request: str, deadline: float, now: float
     ) -> None:
-        """Take that a request goes to a target, until then at the latest."""
-        running = self._find(target).running
-        running[request] = until
-        for other in [one for one, end in running.items() if end <= now]:
-            del running[other]
+        """Count a request until its end is recorded or its deadline passes."""
+        running = self._get_counts(target).running
+        running[request] = deadline
+        for expired in [name for name, end in running.items() if end <= now]:
+            del running[expired]
 
     def end(
         self,
@@ -67,57 +65,62 @@
         pace: float | None,
         now: float,
     ) -> None:
-        """Take that a request has ended, and what it told of the target.
+        """Record the end of a request and the load that its target reported.
 
-        ``reported`` counts the requests that it had with this one, ``pace``
-        is the time taken against what such requests usually take.
+        ``reported`` counts the requests at the target, including this one.
+        ``pace`` is the request's duration relative to the average of such
+        requests. Both are ``None`` if unknown.
         """
-        tally = self._find(target)
-        tally.running.pop(request, None)
+        counts = self._get_counts(target)
+        counts.running.pop(request, None)
         if reported is not None:
-            tally.reported = max(0, reported - 1)
-            tally.reported_at = now
+            counts.reported = max(0, reported - 1)
+            counts.reported_at = now
         if pace is not None:
-            known = _read_pace(tally, now)
-            pace = min(MOST_SLOWNESS, pace)
-            tally.pace = known + PACE_STEP * (pace - known)
-            tally.paced_at = now
+            average = _get_average_ratio(counts, now)
+            pace = min(MAX_LATENCY_RATIO, pace)
+            counts.average_ratio = average + LATENCY_RATIO_WEIGHT * (
+                pace - average
+            )
+            counts.ratio_updated_at = now
 
     def find_load(self, target: str, now: float) -> Load:
-        """Return how much work a target has and how slow it is."""
-        tally = self._tallies.get(target)
-        if tally is None:
+        """Return the load of a target."""
+        counts = self._targets.get(target)
+        if counts is None:
             return Load(0.0)
-        pace = _read_pace(tally, now)
-        slowness = pace if pace >= LEAST_SLOWNESS else 1.0
-        return Load(self.count(target, now), slowness)
+        ratio = _get_average_ratio(counts, now)
+        latency_ratio = ratio if ratio >= MIN_SLOW_LATENCY_RATIO else 1.0
+        return Load(self.count(target, now), latency_ratio)
 
     def count(self, target: str, now: float) -> float:
-        """Return about how many requests a target has."""
-        tally = self._tallies.get(target)
-        if tally is None:
+        """Return the estimated number of requests at a target."""
+        counts = self._targets.get(target)
+        if counts is None:
             return 0.0
-        running = sum(until > now for until in tally.running.values())
-        age = max(0.0, now - tally.reported_at)
-        reported = tally.reported * 0.5 ** (age / REPORT_HALF_LIFE)
+        running = sum(deadline > now for deadline in counts.running.values())
+        age = max(0.0, now - counts.reported_at)
+        reported = counts.reported * 0.5 ** (age / REPORT_HALF_LIFE_SECONDS)
         return max(float(running), reported)
 
     def forget(self, targets: typing.Container[str]) -> None:
-        """Forget the targets that are not among ``targets`` any more."""
-        for name in [name for name in self._tallies if name not in targets]:
-            del self._tallies[name]
+        """Discard the counts of targets that are not in ``targets``."""
+        for name in [name for name in self._targets if name not in targets]:
+            del self._targets[name]
 
     def drop(self, target: str) -> None:
-        """Forget one target: it has started again, and has no work."""
-        self._tallies.pop(target, None)
+        """Discard the counts of a target that has restarted."""
+        self._targets.pop(target, None)
 
-    def _find(self, target: str) -> _Tally:
-        tally = self._tallies.get(target)
-        if tally is None:
-            tally = self._tallies[target] = _Tally()
-        return tally
+    def _get_counts(self, target: str) -> _TargetCounts:
+        counts = self._targets.get(target)
+        if counts is None:
+            counts = self._targets[target] = _TargetCounts()
+        return counts
 
 
-def _read_pace(tally: _Tally, now: float) -> float:
-    age = max(0.0, now - tally.paced_at)
-    return 1.0 + (tally.pace - 1.0) * 0.5 ** (age / PACE_HALF_LIFE)
+def _get_average_ratio(counts: _TargetCounts, now: float) -> float:
+    age = max(0.0, now - counts.ratio_updated_at)
+    return 1.0 + (counts.average_ratio - 1.0) * 0.5 ** (
+        age / LATENCY_RATIO_HALF_LIFE_SECONDS
+    )
--- a/libs/scheduling/vanillayoke/scheduling/verdicts.py
+++ b/libs/scheduling/vanillayoke/scheduling/verdicts.py
@@ -1,37 +1,36 @@
-"""What all instances together find out about sick targets.
+"""Target health on which the instances agree by gossip.
 
-One of many instances sends a target only a few requests a second, so each
-alone would find out late that it fails them, and try it again and again when
-it does. Instead, each reports what failed, and a target counts as sick for
-all once a few agree. Trials are spread over the instances: together they make
-a few a second, however many instances there are.
+Each of many instances sends a target few requests and would detect a failure
+late. Instances therefore report failed requests to each other, and a target
+is unhealthy for all of them once a quorum has reported it. Probes of an
+unhealthy target are spread over the instances, so that their total rate does
+not depend on the number of instances.
 
-Reports of one sickness form an episode. Episodes of a target are numbered, so
-that what is merged in any order comes to the same end without clocks.
+Failure reports that belong together form an episode. Episodes of a target are
+numbered, which makes the merge of states independent of their order and of
+clocks.
 """
 
 import typing
 
-# So many instances have to agree: what one of them sees may come of what lies
-# between it and the target.
+# More than one instance has to report a failure, since its cause may be the
+# network between one instance and the target.
 QUORUM = 3
-# Reports that are further apart do not agree: targets lose one answer in
-# thirty while they are well. Seconds.
-AGREEMENT = 1.5
-# Trials of one target by all instances together come this far apart, in
-# seconds on average. Each costs a request while the target is sick, and the
-# target stands idle for about as long when it is well again.
+# Reports have to reach the quorum within this time: healthy targets also fail
+# single requests.
+QUORUM_WINDOW_SECONDS = 1.5
+# Average interval between probes of one target by all instances together.
 TRIAL_PAUSE = 0.5
-# A sick target counts as well again after so many requests in a row that one
-# instance sent it: one that fails every second request must not.
-TRIALS_TO_CLEAR = 2
+# Consecutive successful requests of one instance that end an episode.
+MIN_SUCCESSFUL_PROBES = 2
 
 
 class Verdict(typing.NamedTuple):
-    """What is known of a target's newest episode.
+    """The state of a target's newest episode.
 
-    ``reporters`` are the instances that saw it fail, sorted, at most as many
-    as have to agree. ``is_over`` says that one saw it work again.
+    ``reporters`` are the instances that saw requests fail, sorted, at most
+    ``QUORUM``. ``is_over`` means that an instance found the target healthy
+    again.
     """
 
     target: str
@@ -40,112 +39,117 @@
     is_over: bool
 
 
-class _Case:
-    def __init__(self, verdict: Verdict, now: float) -> None:
-        self.verdict = verdict
-        self.heard_at = now
-        self.try_at = float('inf')
-        self.good_trials = 0
+class _Record:
+    def __init__(self, state: Verdict, now: float) -> None:
+        self.state = state
+        self.received_at = now
+        self.probe_at = float('inf')
+        self.successful_probes = 0
 
 
 class Verdicts:
-    """The verdicts that one instance knows."""
+    """One instance's copy of the health states of all targets."""
 
     def __init__(
         self, instance: str, draw: typing.Callable[[], float]
     ) -> None:
         self._instance = instance
         self._draw = draw
-        self._cases: dict[str, _Case] = {}
+        self._records: dict[str, _Record] = {}
 
     def report(
         self, target: str, now: float, instances: int
     ) -> Verdict | None:
-        """Take that a request failed here; return what others should hear."""
-        case = self._cases.get(target)
-        if case is None:
+        """Record a failed request; return the state to gossip, if any."""
+        record = self._records.get(target)
+        if record is None:
             episode = 1
-        elif case.verdict.is_over or self._has_lapsed(case, now, instances):
-            episode = case.verdict.episode + 1
+        elif record.state.is_over or self._has_expired(record, now, instances):
+            episode = record.state.episode + 1
         else:
-            episode = case.verdict.episode
-        if case is not None:
-            case.good_trials = 0
-        verdict = Verdict(target, episode, (self._instance,), False)
-        return self.merge(verdict, now, instances)
+            episode = record.state.episode
+        if record is not None:
+            record.successful_probes = 0
+        state = Verdict(target, episode, (self._instance,), False)
+        return self.merge(state, now, instances)
 
     def note_good(self, target: str, now: float) -> Verdict | None:
-        """Take that a request went well; return what others should hear."""
-        case = self._cases.get(target)
-        if case is None or case.verdict.is_over:
+        """Record a successful request; return the state to gossip, if any."""
+        record = self._records.get(target)
+        if record is None or record.state.is_over:
             return None
-        case.good_trials += 1
-        if case.good_trials < TRIALS_TO_CLEAR:
-            case.try_at = min(case.try_at, now)
+        record.successful_probes += 1
+        if record.successful_probes < MIN_SUCCESSFUL_PROBES:
+            record.probe_at = min(record.probe_at, now)
             return None
-        verdict = case.verdict._replace(is_over=True)
-        return self.merge(verdict, now, 1)
+        state = record.state._replace(is_over=True)
+        return self.merge(state, now, 1)
 
     def merge(
-        self, verdict: Verdict, now: float, instances: int
+        self, state: Verdict, now: float, instances: int
     ) -> Verdict | None:
-        """Take over what another instance knows.
+        """Merge a state received from another instance.
 
-        Return the verdict that others should hear if anything was new.
+        Return the merged state, to be gossiped further, or ``None`` if the
+        received one contained nothing new.
         """
-        case = self._cases.get(verdict.target)
-        merged = _merge(case.verdict if case else None, verdict)
-        if case is not None and merged == case.verdict:
+        record = self._records.get(state.target)
+        merged = _merge(record.state if record else None, state)
+        if record is not None and merged == record.state:
             return None
-        if case is None or merged.episode > case.verdict.episode:
-            case = self._cases[verdict.target] = _Case(merged, now)
-        case.verdict = merged
-        if self._is_agreed(case, instances) and case.try_at == float('inf'):
-            case.try_at = now + self._draw_pause(instances)
+        if record is None or merged.episode > record.state.episode:
+            record = self._records[state.target] = _Record(merged, now)
+        record.state = merged
+        if self._has_quorum(record, instances) and record.probe_at == float(
+            'inf'
+        ):
+            record.probe_at = now + self._draw_probe_delay(instances)
         return merged
 
     def is_sick(self, target: str, instances: int) -> bool:
-        """Say whether enough instances saw the target fail."""
-        case = self._cases.get(target)
-        return case is not None and self._is_agreed(case, instances)
+        """Return whether a quorum of instances saw the target fail."""
+        record = self._records.get(target)
+        return record is not None and self._has_quorum(record, instances)
 
     def may_try(self, target: str, now: float) -> bool:
-        """Say whether it is this instance's turn to try a sick target."""
-        case = self._cases.get(target)
-        return case is None or now >= case.try_at
+        """Return whether this instance may probe an unhealthy target now."""
+        record = self._records.get(target)
+        return record is None or now >= record.probe_at
 
     def note_trial(self, target: str, now: float, instances: int) -> None:
-        """Note that a request goes to a sick target."""
-        case = self._cases.get(target)
-        if case is not None and self._is_agreed(case, instances):
-            case.try_at = now + self._draw_pause(instances)
+        """Record a request to a target and schedule the next probe."""
+        record = self._records.get(target)
+        if record is not None and self._has_quorum(record, instances):
+            record.probe_at = now + self._draw_probe_delay(instances)
 
     def restart(self, target: str) -> None:
-        """Take that a target has started again: its sickness is over.
+        """End the episode of a target that has restarted.
 
-        Every instance hears of the start by itself, so nothing is told. The
-        episode stays known, so that the next one gets a higher number.
+        Every instance detects the restart by itself, so nothing is gossiped.
+        The episode is kept, so that the next one gets a higher number.
         """
-        case = self._cases.get(target)
-        if case is not None:
-            case.verdict = case.verdict._replace(is_over=True)
+        record = self._records.get(target)
+        if record is not None:
+            record.state = record.state._replace(is_over=True)
 
     def forget(self, targets: typing.Container[str]) -> None:
-        """Forget the targets that are not among ``targets`` any more."""
-        for name in [name for name in self._cases if name not in targets]:
-            del self._cases[name]
+        """Discard the states of targets that are not in ``targets``."""
+        for name in [name for name in self._records if name not in targets]:
+            del self._records[name]
 
-    def _draw_pause(self, instances: int) -> float:
+    def _draw_probe_delay(self, instances: int) -> float:
         return 2 * self._draw() * TRIAL_PAUSE * max(1, instances)
 
-    def _has_lapsed(self, case: _Case, now: float, instances: int) -> bool:
-        is_old = now - case.heard_at > AGREEMENT
-        return is_old and not self._is_agreed(case, instances)
+    def _has_expired(
+        self, record: _Record, now: float, instances: int
+    ) -> bool:
+        is_old = now - record.received_at > QUORUM_WINDOW_SECONDS
+        return is_old and not self._has_quorum(record, instances)
 
-    def _is_agreed(self, case: _Case, instances: int) -> bool:
-        needed = min(QUORUM, max(2, instances // 2))
-        verdict = case.verdict
-        return not verdict.is_over and len(verdict.reporters) >= needed
+    def _has_quorum(self, record: _Record, instances: int) -> bool:
+        quorum = min(QUORUM, max(2, instances // 2))
+        state = record.state
+        return not state.is_over and len(state.reporters) >= quorum
 
 
 def _merge(known: Verdict | None, new: Verdict) -> Verdict:
