--- a/libs/emulator/vanillayoke/emulator/emulation.py
+++ b/libs/emulator/vanillayoke/emulator/emulation.py
@@ -10,9 +10,9 @@
 from vanillayoke.emulator import engines as engines_module
 from vanillayoke.emulator import policies
 from vanillayoke.emulator import scenarios
+from vanillayoke.scheduling import load_counts
 from vanillayoke.scheduling import occupancy
-from vanillayoke.scheduling import outlook
-from vanillayoke.scheduling import tallies
+from vanillayoke.scheduling import program_slack
 
 # Callers give a turn up that has not begun by then. Seconds.
 PATIENCE = 2.0
@@ -73,7 +73,7 @@
         self.favourite: str | None = None
         self.began = 0.0
         self.aim = 0.0
-        self.clock: outlook.ProgramClock | None = None
+        self.clock: program_slack.DelayTracker | None = None
 
 
 class Emulation:
@@ -100,9 +100,9 @@
         self._views = [
             occupancy.Occupancy() for _ in range(scenario.instances)
         ]
-        self._counts = tallies.Tallies()
-        self._shares: dict[str, outlook.IdleShare] = collections.defaultdict(
-            outlook.IdleShare
+        self._counts = load_counts.LoadCounts()
+        self._shares: dict[str, program_slack.IdleTimeRatio] = (
+            collections.defaultdict(program_slack.IdleTimeRatio)
         )
         self._events: list = []
         self._numbers = itertools.count()
@@ -185,7 +185,9 @@
         idle += len(program.tokens) * prefill + sum(program.pauses)
         program.began = now
         program.aim = kind.aim_factor * idle + kind.aim_extra
-        program.clock = outlook.ProgramClock(program.name, now, program.aim)
+        program.clock = program_slack.DelayTracker(
+            program.name, now, program.aim
+        )
         self._send(program, now)
 
     def _send(self, program: _Program, now: float) -> None:
@@ -193,7 +195,7 @@
         self._turns += 1
         view = self._source.choice(self._views)
         left = program.aim - (now - program.began)
-        program.clock.arrive(program.name, now, left)
+        program.clock.start_turn(program.name, now, left)
         self._place(program, view, now, now, frozenset())
 
     def _place(
@@ -223,7 +225,7 @@
         run = self._make_run(program, now)
         if not engine.add(run, now):
             self._shed += 1
-            view.note_shed(engine.name, now)
+            view.record_shed(engine.name, now)
             self._place(program, view, asked, now, passed | {engine.name})
             return
         request = f'{program.name}.{program.turn}.{program.tries}'
@@ -236,7 +238,7 @@
 
     def _make_run(self, program: _Program, now: float) -> engines_module.Run:
         share = self._shares[program.kind.name].value
-        slack = program.clock.estimate(program.name, now, share)
+        slack = program.clock.estimate_slack(program.name, now, share)
         level = policies.rank(self._policy.order, slack, program.kind.priority)
         sizes = self._scenario.engines
         prefill = program.kind.prompt / sizes.prefill_per_ms / sizes.step_ms
@@ -264,11 +266,11 @@
         now: float,
     ) -> None:
         program, view, _, request = run.turn
-        load = occupancy.Report(
+        load = occupancy.LoadReport(
             len(engine.running), len(engine.waiting), engine.slots
         )
         engine.remove(run, now)
-        view.report(engine.name, load, now)
+        view.record_report(engine.name, load, now)
         view.end(engine.name)
         self._counts.end(engine.name, request, None, None, now)
         self._plan_end(engine)
@@ -283,7 +285,7 @@
         self._leave(engine, run, now)
         usual = self._find_usual(program)
         lost = max(0.0, now - asked - usual)
-        program.clock.lose(program.name, lost, now)
+        program.clock.record_delay(program.name, lost, now)
         program.favourite = engine.name
         pause = program.pauses[program.turn]
         program.turn += 1
@@ -310,7 +312,7 @@
             return
         program, _, asked, _ = run.turn
         self._leave(engine, run, now)
-        program.clock.lose(program.name, now - asked, now)
+        program.clock.record_delay(program.name, now - asked, now)
         program.tries += 1
         if program.tries > 2:
             self._end(program, now, None)
@@ -324,7 +326,7 @@
             earned = kind.worth
         elif taken is not None and taken <= MOST_AIMS * program.aim:
             earned = kind.late_worth
-        program.clock.used_at = now
+        program.clock.last_active_at = now
         self._shares[kind.name].learn(program.clock)
         self._outcomes.append(
             Outcome(
--- a/libs/emulator/vanillayoke/emulator/policies.py
+++ b/libs/emulator/vanillayoke/emulator/policies.py
@@ -3,9 +3,9 @@
 import typing
 
 from vanillayoke.emulator import engines as engines_module
+from vanillayoke.scheduling import load_counts
 from vanillayoke.scheduling import occupancy
-from vanillayoke.scheduling import outlook
-from vanillayoke.scheduling import tallies
+from vanillayoke.scheduling import program_slack
 from vanillayoke.scheduling import urgency
 
 
@@ -66,7 +66,7 @@
 
     engines: typing.Sequence[engines_module.Engine]
     view: occupancy.Occupancy
-    counts: tallies.Tallies
+    counts: load_counts.LoadCounts
     favourite: str | None
     zone: str
     passed: frozenset[str]
@@ -98,11 +98,12 @@
     placement: Placement, place: Place, now: float
 ) -> engines_module.Engine | None:
     places = [
-        occupancy.Place(one.name, one.slots, one.zone) for one in place.engines
+        occupancy.Candidate(one.name, one.slots, one.zone)
+        for one in place.engines
     ]
-    wish = occupancy.Wish(place.favourite, place.zone)
+    wish = occupancy.PlacementCriteria(place.favourite, place.zone)
     if isinstance(placement, Reported):
-        found = occupancy.choose_place(
+        found = occupancy.choose_by_own_view(
             places, place.view, wish, place.passed, now, place.draw
         )
     else:
@@ -113,30 +114,32 @@
 
 
 def _choose_by_counts(
-    places: list[occupancy.Place],
-    wish: occupancy.Wish,
+    places: list[occupancy.Candidate],
+    wish: occupancy.PlacementCriteria,
     place: Place,
     now: float,
-) -> occupancy.Place | None:
+) -> occupancy.Candidate | None:
     near, far = occupancy.choose_candidates(
         places, place.view, wish, place.passed, now, place.draw
     )
-    loads = {one.name: place.counts.find_load(one.name, now) for one in near}
-    best = occupancy.choose_counted(
+    loads = {one.name: place.counts.get_load(one.name, now) for one in near}
+    best = occupancy.choose_least_loaded(
         near, loads, place.view, wish, now, place.draw
     )
-    if best is not None and occupancy.is_light(best, loads, place.view, wish):
+    if best is not None and occupancy.is_lightly_loaded(
+        best, loads, place.view, wish
+    ):
         return best
-    loads |= {one.name: place.counts.find_load(one.name, now) for one in far}
-    return occupancy.choose_counted(
+    loads |= {one.name: place.counts.get_load(one.name, now) for one in far}
+    return occupancy.choose_least_loaded(
         [*near, *far], loads, place.view, wish, now, place.draw
     )
 
 
-def rank(order: Order, slack: outlook.Slack, priority: int) -> int:
+def rank(order: Order, slack: program_slack.Slack, priority: int) -> int:
     """Return the urgency that an engine is told."""
     match order:
         case BySlack():
-            return urgency.rank(slack, priority)
+            return urgency.get_level(slack, priority)
         case FirstCome():
-            return urgency.UNKNOWN
+            return urgency.DEFAULT_LEVEL
--- a/libs/gateway/vanillayoke/gateway/calls.py
+++ b/libs/gateway/vanillayoke/gateway/calls.py
@@ -104,7 +104,7 @@
         """Serve a request within the limit of its organisation."""
         is_turn = progress.route.kind is messages.RouteKind.STREAM
         program = progress.call.program
-        asked = quotas.Asked(
+        asked = quotas.AdmissionRequest(
             program.name if program else '',
             progress.route.name if is_turn else '',
         )
--- a/libs/gateway/vanillayoke/gateway/clocks.py
+++ b/libs/gateway/vanillayoke/gateway/clocks.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from vanillayoke.scheduling import outlook
+from vanillayoke.scheduling import program_slack
 
 # A program without a turn for so long has ended, as far as anybody can tell.
 # Seconds.
@@ -15,14 +15,14 @@
     """The clocks of the programs whose home this instance is."""
 
     def __init__(self) -> None:
-        self._clocks: collections.OrderedDict[str, outlook.ProgramClock] = (
-            collections.OrderedDict()
-        )
+        self._clocks: collections.OrderedDict[
+            str, program_slack.DelayTracker
+        ] = collections.OrderedDict()
         self._routes: dict[str, str] = {}
         # The targets that the last turns ran at, by program and session; that
         # of the program's last turn stands under the session ''.
         self._targets: dict[str, dict[str, str]] = {}
-        self._shares: dict[str, outlook.IdleShare] = {}
+        self._shares: dict[str, program_slack.IdleTimeRatio] = {}
 
     def arrive(
         self,
@@ -31,16 +31,18 @@
         route: str,
         time_left: float,
         now: float,
-    ) -> outlook.Slack:
+    ) -> program_slack.Slack:
         """Note a turn and return what is left to its line."""
         clock = self._clocks.get(program)
         if clock is None:
-            clock = outlook.ProgramClock(session, now, time_left)
+            clock = program_slack.DelayTracker(session, now, time_left)
             self._clocks[program] = clock
             self._routes[program] = route
-        clock.arrive(session, now, time_left)
+        clock.start_turn(session, now, time_left)
         self._clocks.move_to_end(program)
-        return clock.estimate(session, now, self._find_share(route).value)
+        return clock.estimate_slack(
+            session, now, self._find_share(route).value
+        )
 
     def lose(
         self, program: str, session: str, seconds: float, now: float
@@ -48,7 +50,7 @@
         """Note what a turn lost to waiting."""
         clock = self._clocks.get(program)
         if clock is not None:
-            clock.lose(session, seconds, now)
+            clock.record_delay(session, seconds, now)
 
     def place(self, program: str, session: str, target: str) -> None:
         """Note where a turn has ended whole."""
@@ -67,7 +69,7 @@
     def prune(self, now: float) -> None:
         """Learn from the programs that have ended and forget them."""
         for program, clock in list(self._clocks.items()):
-            quiet = now - clock.used_at
+            quiet = now - clock.last_active_at
             if quiet < QUIET:
                 return
             route = self._routes.pop(program, None)
@@ -77,8 +79,8 @@
                 del self._clocks[program]
                 self._targets.pop(program, None)
 
-    def _find_share(self, route: str) -> outlook.IdleShare:
+    def _find_share(self, route: str) -> program_slack.IdleTimeRatio:
         share = self._shares.get(route)
         if share is None:
-            share = self._shares[route] = outlook.IdleShare()
+            share = self._shares[route] = program_slack.IdleTimeRatio()
         return share
--- a/libs/gateway/vanillayoke/gateway/dispatch.py
+++ b/libs/gateway/vanillayoke/gateway/dispatch.py
@@ -7,8 +7,8 @@
 from vanillayoke.gateway import shared
 from vanillayoke.programs import scopes
 from vanillayoke.scheduling import occupancy
-from vanillayoke.scheduling import outlook
 from vanillayoke.scheduling import prefixes
+from vanillayoke.scheduling import program_slack
 from vanillayoke.scheduling import slowdown as slowdown_module
 from vanillayoke.scheduling import urgency
 from vanillayoke.transport import client
@@ -56,7 +56,7 @@
         # What the target was told, and when its first event came, in
         # seconds from the arrival.
         self.level: int | None = None
-        self.slack: outlook.Slack | None = None
+        self.slack: program_slack.Slack | None = None
         self.slack_at = began
         self.first: float | None = None
         self.may_have_run = False
@@ -107,7 +107,7 @@
 
     def __init__(self, parts: shared.Parts) -> None:
         self._parts = parts
-        self._prefixes: dict[str, prefixes.Prefixes] = {}
+        self._prefixes: dict[str, prefixes.RecentPrefixes] = {}
         self._slowdowns: dict[str, slowdown_module.Slowdown] = {}
 
     def find_slowdown(self, service: str) -> slowdown_module.Slowdown:
@@ -120,26 +120,30 @@
             self._slowdowns[service] = found
         return found
 
-    def _make_wish(self, progress: Progress) -> occupancy.Wish:
-        wish = occupancy.Wish(
+    def _make_wish(self, progress: Progress) -> occupancy.PlacementCriteria:
+        wish = occupancy.PlacementCriteria(
             progress.favourite,
             self._parts.settings.zone,
             self.find_slowdown(progress.service).slope,
         )
-        shared = prefixes.find_shared(progress.call.prefix)
+        shared = prefixes.get_shared_prefix(progress.call.prefix)
         if shared is None:
             return wish
-        seen = self._prefixes.setdefault(progress.service, prefixes.Prefixes())
-        seen.note(shared, self._parts.timers.now())
+        seen = self._prefixes.setdefault(
+            progress.service, prefixes.RecentPrefixes()
+        )
+        seen.record(shared, self._parts.timers.now())
         services = self._parts.catalog.configuration.services
         service = services.get(progress.service)
         if service is None or service.engine is None:
             return wish
         memory, slots = service.engine.cache_tokens, service.engine.slots
         return wish._replace(
-            shared=shared.name,
-            step=seen.find_step(memory),
-            own=prefixes.find_own(progress.call.prefix, memory, slots),
+            shared_prefix=shared.name,
+            rank_cost=seen.get_rank_cost(memory),
+            affinity_value=prefixes.estimate_affinity_value(
+                progress.call.prefix, memory, slots
+            ),
         )
 
     def make_attempt(
@@ -187,7 +191,7 @@
             left=progress.slack.left - waited,
             overdue=progress.slack.overdue + waited,
         )
-        return urgency.rank(slack, progress.priority)
+        return urgency.get_level(slack, progress.priority)
 
     async def choose(
         self, progress: Progress, passed: set[str]
@@ -216,9 +220,9 @@
         self,
         progress: Progress,
         targets: list[messages.Target],
-        wish: occupancy.Wish,
+        wish: occupancy.PlacementCriteria,
         passed: set[str],
-    ) -> occupancy.Place | None:
+    ) -> occupancy.Candidate | None:
         """Return the place to send to now; ``None`` if none has room."""
         places = [make_place(target) for target in targets]
         view, draw = self._parts.view, self._parts.draw
@@ -228,12 +232,16 @@
         )
         loads = await self._parts.scouts.count(near)
         now = self._parts.timers.now()
-        best = occupancy.choose_counted(near, loads, view, wish, now, draw)
-        if best is None or not occupancy.is_light(best, loads, view, wish):
+        best = occupancy.choose_least_loaded(
+            near, loads, view, wish, now, draw
+        )
+        if best is None or not occupancy.is_lightly_loaded(
+            best, loads, view, wish
+        ):
             loads |= await self._parts.scouts.count(far)
             now = self._parts.timers.now()
             found = [*near, *far]
-            best = occupancy.choose_counted(
+            best = occupancy.choose_least_loaded(
                 found, loads, view, wish, now, draw
             )
         load = loads.get(best.name) if best is not None else None
@@ -251,16 +259,16 @@
         if isinstance(error, forwarding.NotExecutedError):
             progress.shed += 1
             progress.may_have_run = progress.breaks > 0
-            self._parts.view.note_shed(target.name, now)
+            self._parts.view.record_shed(target.name, now)
             return
         match error:
             case client.NotSent():
-                self._parts.view.note_unreachable(target.name, now)
+                self._parts.view.record_unreachable(target.name, now)
             case client.TimedOut():
                 # The caller's second try must not meet the same silence.
-                self._parts.view.note_unreachable(target.name, now)
+                self._parts.view.record_unreachable(target.name, now)
             case _:
-                self._parts.view.note_outcome(target.name, False, now)
+                self._parts.view.record_outcome(target.name, False, now)
         self._parts.log.write(
             log_events.ATTEMPT_FAILED,
             request=progress.call.request,
@@ -305,9 +313,9 @@
         """Take an attempt whose answer came whole."""
         is_good = progress.status < FIRST_SERVER_ERROR
         now = self._parts.timers.now()
-        self._parts.view.note_outcome(target.name, is_good, now)
+        self._parts.view.record_outcome(target.name, is_good, now)
 
 
-def make_place(target: messages.Target) -> occupancy.Place:
+def make_place(target: messages.Target) -> occupancy.Candidate:
     """Return a target as the choice of places sees it."""
-    return occupancy.Place(target.name, target.slots, target.zone)
+    return occupancy.Candidate(target.name, target.slots, target.zone)
--- a/libs/gateway/vanillayoke/gateway/forwarding.py
+++ b/libs/gateway/vanillayoke/gateway/forwarding.py
@@ -73,7 +73,7 @@
         self._scouts.begin(
             self.target, self._request, self._until - self.began
         )
-        self._view.note_trial(self.target.name, self.began)
+        self._view.record_probe(self.target.name, self.began)
         return self
 
     async def __aexit__(
@@ -93,7 +93,7 @@
         """Count a request given up on, if the target was silent for long."""
         now = self._timers.now()
         if not self.has_head and now - self.began > SILENCE:
-            self._view.note_outcome(self.target.name, False, now)
+            self._view.record_outcome(self.target.name, False, now)
 
     async def send(
         self, call: messages.Call, sending: messages.Sending, is_young: bool
@@ -144,9 +144,11 @@
     def _take_facts(self, head: client.Head) -> messages.AnswerFacts:
         facts = self._dialect.decode_answer(head)
         if facts.load is not None:
-            report = occupancy.Report(*facts.load)
+            report = occupancy.LoadReport(*facts.load)
             # Old by the time that a stream ends.
             if head.status >= _FIRST_FAILURE:
                 self._reported = facts.load.running + facts.load.waiting
-            self._view.report(self.target.name, report, self._timers.now())
+            self._view.record_report(
+                self.target.name, report, self._timers.now()
+            )
         return facts
--- a/libs/gateway/vanillayoke/gateway/front.py
+++ b/libs/gateway/vanillayoke/gateway/front.py
@@ -35,7 +35,7 @@
 from vanillayoke.gateway import verdict_news
 from vanillayoke.gateway import version_news
 from vanillayoke.scheduling import occupancy
-from vanillayoke.scheduling import verdicts
+from vanillayoke.scheduling import shared_health
 from vanillayoke.transport import client
 from vanillayoke.transport import datagrams
 from vanillayoke.transport import server
@@ -188,7 +188,7 @@
             self._notes.note_budget,
         )
         self._histories = histories.Histories(self._store, self._timers)
-        known = verdicts.Verdicts(settings.instance, draw)
+        known = shared_health.SharedHealth(settings.instance, draw)
         self._verdict_news = verdict_news.VerdictNews(
             settings.instance,
             known,
@@ -395,7 +395,7 @@
         self._homes.prune()
         self._limits.prune()
         self._limit_accounts.prune()
-        self._view.forget(self._catalog.names)
+        self._view.retain(self._catalog.names)
         self._scouts.forget(self._catalog.names)
 
     def _forget_former(self, target: messages.Target) -> None:
@@ -405,7 +405,7 @@
         of its sickness, work or pace.
         """
         self._pool.drop(target.address)
-        self._view.restart(target.name)
+        self._view.handle_restart(target.name)
         self._scouts.restart(target.name)
         self._log.write(
             log_events.SERVER_RESTARTED,
--- a/libs/gateway/vanillayoke/gateway/holding.py
+++ b/libs/gateway/vanillayoke/gateway/holding.py
@@ -49,7 +49,9 @@
         left = progress.waits_until - now
         if left <= 0:
             raise refusals.RefusalError(
-                refusals.Reason.STORE_AWAY, str(error), outages.SHORTEST_PAUSE
+                refusals.Reason.STORE_AWAY,
+                str(error),
+                outages.MIN_PAUSE_SECONDS,
             ) from error
         await self._parts.store.wait_open(min(left, PAUSE))
 
@@ -60,7 +62,7 @@
     def find_keeping_end(self, progress: dispatch.Progress) -> float:
         """Return until when a turn that has run waits for its row."""
         now = self._parts.timers.now()
-        turn = outages.Finished(progress.until - now)
+        turn = outages.CompletedTurn(progress.until - now)
         match outages.decide(self._find_outage(now), turn):
             case outages.Wait(longest):
                 return now + longest
@@ -73,7 +75,7 @@
         """Return how long a turn may wait for the store, in seconds."""
         now = self._parts.timers.now()
         outage = self._find_outage(now)
-        turn = outages.Waiting(
+        turn = outages.PendingTurn(
             progress.until - now,
             self._find_silence_end(progress) - now,
             self._find_need(progress),
@@ -83,8 +85,9 @@
                 return longest
             case outages.Refuse(pause):
                 detail = (
-                    f'{error}; away for {outage.age:.2f} s, {turn.left:.2f} s'
-                    f' left, {turn.needed:.2f} s needed'
+                    f'{error}; away for {outage.age:.2f} s,'
+                    f' {turn.time_left:.2f} s'
+                    f' left, {turn.service_time:.2f} s needed'
                 )
                 raise refusals.RefusalError(
                     refusals.Reason.STORE_AWAY, detail, pause
--- a/libs/gateway/vanillayoke/gateway/homes.py
+++ b/libs/gateway/vanillayoke/gateway/homes.py
@@ -21,7 +21,7 @@
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import store as store_module
 from vanillayoke.gateway import tenure as tenure_module
-from vanillayoke.scheduling import outlook
+from vanillayoke.scheduling import program_slack
 
 # The longest that a home waits for the store on behalf of another instance.
 # Seconds.
@@ -55,7 +55,7 @@
 
     is_granted: bool
     keeper: str
-    slack: outlook.Slack | None
+    slack: program_slack.Slack | None
     target: str | None = None
 
 
@@ -375,7 +375,9 @@
                 question.program, question.session, question.target
             )
 
-    def _arrive(self, question: peer_messages.Reserve) -> outlook.Slack | None:
+    def _arrive(
+        self, question: peer_messages.Reserve
+    ) -> program_slack.Slack | None:
         if question.time_left is None:
             return None
         return self._clocks.arrive(
--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -72,7 +72,7 @@
         self._spawn = spawn
         self._find_lost_share = find_lost_share
         self._is_leaving = is_leaving
-        self._needs = quotas.Needs()
+        self._needs = quotas.ProgramStatistics()
         self._entries: dict[str, _Entry] = {}
 
     def answer(
@@ -110,7 +110,7 @@
         now = self._timers.now()
         for name, entry in list(self._entries.items()):
             entry.account.window.prune(now)
-            if now - entry.account.seen > IDLE_ACCOUNT:
+            if now - entry.account.last_used_at > IDLE_ACCOUNT:
                 del self._entries[name]
 
     def _begin(self, name: str, entry: _Entry) -> None:
@@ -128,14 +128,14 @@
         account = entry.account
         account.set_limit(question.limit, question.version)
         if question.is_whole:
-            account.window.forget(question.reporter)
+            account.window.remove_reporter(question.reporter)
         for used in question.used:
             at = now - used.age / 1000
             account.window.add(question.reporter, at, used.count)
-            asked = quotas.Asked(used.program, used.route)
-            account.note(asked, used.count, now)
+            asked = quotas.AdmissionRequest(used.program, used.route)
+            account.record(asked, used.count, now)
             entry.unsaved += used.count
-        account.seen = now
+        account.last_used_at = now
 
     async def _answer_opened(
         self, entry: _Entry, question: peer_messages.Usage
@@ -151,26 +151,26 @@
         account = entry.account
         if now >= entry.settled_at:
             lost = self._find_lost_share()
-            reserve = quotas.find_reserve(account.limit, lost, entry.is_known)
+            reserve = quotas.get_reserve(account.limit, lost, entry.is_known)
         else:
-            reserve = quotas.find_first_reserve(account.limit, entry.is_known)
+            reserve = quotas.get_initial_reserve(account.limit, entry.is_known)
         account.reserve = reserve
         standing = peer_messages.Standing(False)
         if question.asked is not None:
-            asked = quotas.Asked(*question.asked)
-            match account.ask(question.reporter, asked, now):
+            asked = quotas.AdmissionRequest(*question.asked)
+            match account.request_admission(question.reporter, asked, now):
                 case quotas.Refused() as found:
                     standing = peer_messages.Standing(
                         False,
                         _describe(found, account),
-                        found.pause,
+                        found.retry_after,
                         found.is_new,
                     )
                 case quotas.Admitted():
                     entry.unsaved += 1
         self._save_soon(question.organisation, entry)
         return msgspec.structs.replace(
-            standing, is_close=account.is_close(now)
+            standing, is_close=account.is_near_limit(now)
         )
 
     # The store
@@ -186,7 +186,7 @@
         now = self._timers.now()
         if saved is not None:
             age = max(0.0, self._timers.wall() - saved.time)
-            entry.account.window.inherit(
+            entry.account.window.restore(
                 (now - age - one, count) for one, count in saved.counts
             )
         entry.opening = None
@@ -207,7 +207,7 @@
 
     def _save_soon(self, name: str, entry: _Entry) -> None:
         account = entry.account
-        most = quotas.SAVED_SHARE * account.limit.tolerance
+        most = quotas.SAVE_RATIO * account.limit.tolerance
         if entry.is_saving or entry.unsaved <= most:
             return
         entry.is_saving = True
--- a/libs/gateway/vanillayoke/gateway/limits.py
+++ b/libs/gateway/vanillayoke/gateway/limits.py
@@ -26,7 +26,7 @@
 # meanwhile, if each has admitted as much: this share of what may be lost
 # uncounted. Likewise an instance that knows nothing asks first, unless all may
 # admit one each within this share.
-UNTOLD_SHARE = 1.0 - quotas.SAVED_SHARE
+UNTOLD_SHARE = 1.0 - quotas.SAVE_RATIO
 # For how long it is known that the limit is far. Seconds.
 STANDING_LIFETIME = 1.0
 # How many homes are asked, the next one where one is silent, and for how long
@@ -45,7 +45,7 @@
     """A request that counts as used, and since when."""
 
     organisation: str
-    asked: quotas.Asked
+    asked: quotas.AdmissionRequest
     at: float
 
 
@@ -55,7 +55,11 @@
     __slots__ = ('at', 'asked', 'count', 'is_told')
 
     def __init__(
-        self, at: float, asked: quotas.Asked, count: int, is_told: bool
+        self,
+        at: float,
+        asked: quotas.AdmissionRequest,
+        count: int,
+        is_told: bool,
     ) -> None:
         self.at = at
         self.asked = asked
@@ -81,7 +85,7 @@
     def add(
         self,
         at: float,
-        asked: quotas.Asked,
+        asked: quotas.AdmissionRequest,
         count: int,
         is_told: bool = False,
     ) -> None:
@@ -155,7 +159,7 @@
     async def admit(
         self,
         organisation: messages.Organisation | None,
-        asked: quotas.Asked,
+        asked: quotas.AdmissionRequest,
         until: float,
     ) -> Admission | None:
         """Count a request as used; ``None`` where there is no limit.
@@ -213,7 +217,7 @@
         self,
         organisation: str,
         usage: _Usage,
-        asked: quotas.Asked,
+        asked: quotas.AdmissionRequest,
         until: float,
     ) -> None:
         """Ask until the request is admitted, or could not be in time.
@@ -240,7 +244,9 @@
                 )
             await self._timers.sleep(answer.pause)
 
-    def _admit_alone(self, usage: _Usage, asked: quotas.Asked) -> None:
+    def _admit_alone(
+        self, usage: _Usage, asked: quotas.AdmissionRequest
+    ) -> None:
         """Admit an even share of what may be lost uncounted.
 
         No home can be asked, and the limit may be used up. Where the share is
@@ -278,7 +284,10 @@
             await self._send(organisation, usage, None)
 
     async def _send(
-        self, organisation: str, usage: _Usage, asked: quotas.Asked | None
+        self,
+        organisation: str,
+        usage: _Usage,
+        asked: quotas.AdmissionRequest | None,
     ) -> peer_messages.Standing | None:
         """Tell the home what it does not know; return what it answers."""
         for _ in range(MOST_ASKED):
@@ -304,7 +313,7 @@
         organisation: str,
         usage: _Usage,
         home: str,
-        asked: quotas.Asked | None,
+        asked: quotas.AdmissionRequest | None,
     ) -> peer_messages.Usage:
         now = self._timers.now()
         usage.prune(now - self._window)
--- a/libs/gateway/vanillayoke/gateway/notes.py
+++ b/libs/gateway/vanillayoke/gateway/notes.py
@@ -5,7 +5,7 @@
 from vanillayoke.core import logs
 from vanillayoke.gateway import accounts
 from vanillayoke.gateway import measures as measures_module
-from vanillayoke.scheduling import verdicts
+from vanillayoke.scheduling import shared_health
 
 # The states that an instance is met in at first.
 _EXPECTED = frozenset(
@@ -102,7 +102,7 @@
             incarnation=member.incarnation,
         )
 
-    def note_verdict(self, verdict: verdicts.Verdict) -> None:
+    def note_verdict(self, verdict: shared_health.HealthState) -> None:
         """Note what became known of a target."""
         if verdict.is_over:
             self._log.write(log_events.TARGET_WELL, target=verdict.target)
--- a/libs/gateway/vanillayoke/gateway/peer_messages.py
+++ b/libs/gateway/vanillayoke/gateway/peer_messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from vanillayoke.scheduling import outlook
+from vanillayoke.scheduling import program_slack
 from vanillayoke.scheduling import quotas
 
 
@@ -153,7 +153,7 @@
     prompt in its memory, where these are known.
     """
 
-    slack: outlook.Slack | None = None
+    slack: program_slack.Slack | None = None
     target: str | None = None
 
 
--- a/libs/gateway/vanillayoke/gateway/peers.py
+++ b/libs/gateway/vanillayoke/gateway/peers.py
@@ -12,7 +12,7 @@
 
 from vanillayoke.core import timers
 from vanillayoke.gateway import peer_messages
-from vanillayoke.scheduling import verdicts
+from vanillayoke.scheduling import shared_health
 
 # Kinds of datagrams, the first byte of each.
 MEMBERSHIP = b'm'
@@ -52,7 +52,7 @@
 _QUESTIONS = msgspec.msgpack.Decoder(_Envelope)
 _ANSWERS = msgspec.msgpack.Decoder(_Reply)
 _NOTES = msgspec.msgpack.Decoder(peer_messages.Note)
-_VERDICTS = msgspec.msgpack.Decoder(verdicts.Verdict)
+_VERDICTS = msgspec.msgpack.Decoder(shared_health.HealthState)
 _VERSIONS = msgspec.msgpack.Decoder(peer_messages.Version)
 
 
@@ -78,7 +78,7 @@
         timer_service: timers.TimerService,
         handle: Handler,
         on_membership: typing.Callable[[bytes, str], None],
-        on_verdict: typing.Callable[[verdicts.Verdict], None],
+        on_verdict: typing.Callable[[shared_health.HealthState], None],
         on_note: typing.Callable[[peer_messages.Note], None],
         on_version: typing.Callable[[peer_messages.Version], None],
         first_number: int,
@@ -108,7 +108,9 @@
             self._sender.send(address, MEMBERSHIP + data)
 
     def send_verdict(
-        self, addresses: typing.Iterable[str], verdict: verdicts.Verdict
+        self,
+        addresses: typing.Iterable[str],
+        verdict: shared_health.HealthState,
     ) -> None:
         """Tell others what is known of a target."""
         data = VERDICT + _ENCODER.encode(verdict)
--- a/libs/gateway/vanillayoke/gateway/plain.py
+++ b/libs/gateway/vanillayoke/gateway/plain.py
@@ -7,8 +7,8 @@
 from vanillayoke.gateway import forwarding
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import shared
-from vanillayoke.scheduling import outlook
-from vanillayoke.scheduling import tallies
+from vanillayoke.scheduling import load_counts
+from vanillayoke.scheduling import program_slack
 from vanillayoke.transport import client
 from vanillayoke.transport import headers as headers_module
 from vanillayoke.transport import server
@@ -38,8 +38,8 @@
     def __init__(self, parts: shared.Parts) -> None:
         self._parts = parts
         self._dispatcher = dispatch.Dispatcher(parts)
-        self._usual: dict[str, outlook.Usual] = {}
-        self._means: dict[str, outlook.Mean] = {}
+        self._usual: dict[str, program_slack.TypicalTime] = {}
+        self._means: dict[str, program_slack.AverageTime] = {}
 
     async def serve(
         self, progress: dispatch.Progress, responder: server.Responder
@@ -76,7 +76,7 @@
                 async with asyncio.timeout(self._find_patience(progress)):
                     return await self._exchange(progress, attempt, sending)
             except TimeoutError as error:
-                attempt.pace = tallies.MAX_LATENCY_RATIO
+                attempt.pace = load_counts.MAX_LATENCY_RATIO
                 raise client.TimedOut('no answer for too long') from error
 
     async def _exchange(
@@ -90,7 +90,9 @@
         )
         answer = Answer(head, await attempt.read_body())
         taken = self._parts.timers.now() - attempt.began
-        mean = self._means.setdefault(progress.route.name, outlook.Mean(taken))
+        mean = self._means.setdefault(
+            progress.route.name, program_slack.AverageTime(taken)
+        )
         attempt.pace = taken / mean.value
         mean.learn(taken)
         return answer
@@ -111,7 +113,7 @@
         taken = self._parts.timers.now() - progress.began
         usual = self._usual.get(name)
         if usual is None:
-            usual = self._usual[name] = outlook.Usual(taken)
+            usual = self._usual[name] = program_slack.TypicalTime(taken)
         usual.learn(taken)
 
 
--- a/libs/gateway/vanillayoke/gateway/scouting.py
+++ b/libs/gateway/vanillayoke/gateway/scouting.py
@@ -12,8 +12,8 @@
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
+from vanillayoke.scheduling import load_counts
 from vanillayoke.scheduling import occupancy
-from vanillayoke.scheduling import tallies
 
 # How long to wait for the homes' answers. A round trip between zones takes
 # two milliseconds; what does not come by then is taken from this instance's
@@ -33,7 +33,7 @@
         self._instance = instance
         self._list_members = list_members
         self._timers = timer_service
-        self._tallies = tallies.Tallies()
+        self._tallies = load_counts.LoadCounts()
         self._peers: peers_module.Peers | None = None
         self._members: typing.Sequence[homes_ranking.HomeMember] = ()
         self._homes: dict[str, str | None] = {}
@@ -43,16 +43,16 @@
         self._peers = peers
 
     async def count(
-        self, places: typing.Iterable[occupancy.Place]
-    ) -> dict[str, tallies.Load]:
+        self, places: typing.Iterable[occupancy.Candidate]
+    ) -> dict[str, load_counts.Load]:
         """Return the loads of those targets whose homes answer in time."""
-        found: dict[str, tallies.Load] = {}
+        found: dict[str, load_counts.Load] = {}
         asked = []
         for place in places:
             address = self._find_home(place.name, place.zone)
             if address is None:
                 now = self._timers.now()
-                found[place.name] = self._tallies.find_load(place.name, now)
+                found[place.name] = self._tallies.get_load(place.name, now)
             else:
                 asked.append(self._ask(address, place.name, found))
         if asked:
@@ -60,7 +60,7 @@
         return found
 
     async def _ask(
-        self, address: str, target: str, found: dict[str, tallies.Load]
+        self, address: str, target: str, found: dict[str, load_counts.Load]
     ) -> None:
         answer = await self._peers.ask(
             address,
@@ -69,7 +69,7 @@
             (PATIENCE,),
         )
         if isinstance(answer, peer_messages.Counted):
-            found[target] = tallies.Load(answer.requests, answer.slowness)
+            found[target] = load_counts.Load(answer.requests, answer.slowness)
 
     def begin(
         self, target: messages.Target, request: str, longest: float
@@ -84,7 +84,7 @@
         reported: int | None,
         pace: float | None,
     ) -> None:
-        """Note that a request has ended; see ``tallies.Tallies.end``."""
+        """Note that a request has ended; see ``LoadCounts.end``."""
         note = peer_messages.Ended(target.name, request, reported, pace)
         self._tell(target, note)
 
@@ -99,17 +99,17 @@
 
     def answer(self, question: peer_messages.Count) -> peer_messages.Counted:
         """Answer another instance."""
-        load = self._tallies.find_load(question.target, self._timers.now())
-        return peer_messages.Counted(load.requests, load.slowness)
+        load = self._tallies.get_load(question.target, self._timers.now())
+        return peer_messages.Counted(load.requests, load.latency_ratio)
 
     def forget(self, targets: typing.Container[str]) -> None:
         """Forget the targets that are no more."""
-        self._tallies.forget(targets)
+        self._tallies.retain(targets)
         self._homes.clear()
 
     def restart(self, target: str) -> None:
         """Forget the work of a target that has started again."""
-        self._tallies.drop(target)
+        self._tallies.reset(target)
 
     def _tell(self, target: messages.Target, note: peer_messages.Note) -> None:
         address = self._find_home(target.name, target.zone)
--- a/libs/gateway/vanillayoke/gateway/turns.py
+++ b/libs/gateway/vanillayoke/gateway/turns.py
@@ -13,7 +13,7 @@
 from vanillayoke.gateway import refusals
 from vanillayoke.gateway import shared
 from vanillayoke.gateway import store as store_module
-from vanillayoke.scheduling import outlook
+from vanillayoke.scheduling import program_slack
 from vanillayoke.transport import client
 from vanillayoke.transport import headers as headers_module
 from vanillayoke.transport import server
@@ -64,8 +64,10 @@
     def __init__(self, parts: shared.Parts) -> None:
         self._parts = parts
         self._dispatcher = dispatch.Dispatcher(parts)
-        self._usual: dict[str, tuple[outlook.Usual, outlook.Usual]] = {}
-        self._gaps: dict[str, outlook.Mean] = {}
+        self._usual: dict[
+            str, tuple[program_slack.TypicalTime, program_slack.TypicalTime]
+        ] = {}
+        self._gaps: dict[str, program_slack.AverageTime] = {}
         self._holding = holding.Holding(parts, self._find_need)
 
     async def serve(
@@ -121,15 +123,22 @@
         if progress.load is not None:
             slowdown = self._dispatcher.find_slowdown(progress.service)
             slowdown.learn(progress.load, gap)
-        mean = self._gaps.setdefault(progress.service, outlook.Mean(gap))
+        mean = self._gaps.setdefault(
+            progress.service, program_slack.AverageTime(gap)
+        )
         pace = gap / mean.value
         mean.learn(gap)
         return pace
 
-    def _find_usual(self, service: str) -> tuple[outlook.Usual, outlook.Usual]:
+    def _find_usual(
+        self, service: str
+    ) -> tuple[program_slack.TypicalTime, program_slack.TypicalTime]:
         found = self._usual.get(service)
         if found is None:
-            found = outlook.Usual(FIRST_EVENT), outlook.Usual(NEXT_EVENT)
+            found = (
+                program_slack.TypicalTime(FIRST_EVENT),
+                program_slack.TypicalTime(NEXT_EVENT),
+            )
             self._usual[service] = found
         return found
 
--- a/libs/gateway/vanillayoke/gateway/verdict_news.py
+++ b/libs/gateway/vanillayoke/gateway/verdict_news.py
@@ -6,7 +6,7 @@
 from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import notes as notes_module
 from vanillayoke.gateway import peers as peers_module
-from vanillayoke.scheduling import verdicts as verdicts_module
+from vanillayoke.scheduling import shared_health as shared_health_module
 
 # How many others an instance tells of a verdict that is new to it: with four,
 # 98 in 100 hear of it within a few hops, and the rest by its repetition.
@@ -19,7 +19,7 @@
     def __init__(
         self,
         instance: str,
-        verdicts: verdicts_module.Verdicts,
+        verdicts: shared_health_module.SharedHealth,
         list_homes: homes_ranking.ListMembers,
         timer_service: timers.TimerService,
         source: random.Random,
@@ -41,26 +41,26 @@
         """Return how many instances there are to agree."""
         return len(self._list_homes())
 
-    def publish(self, verdict: verdicts_module.Verdict) -> None:
+    def publish(self, verdict: shared_health_module.HealthState) -> None:
         """Spread what this instance found out."""
         self._notes.note_verdict(verdict)
         self._spread(verdict)
 
-    def hear(self, verdict: verdicts_module.Verdict) -> None:
+    def hear(self, verdict: shared_health_module.HealthState) -> None:
         """Take what another instance tells; pass on what is new.
 
         A line is written only where it changes what this instance does.
         """
         count = self.count_instances()
-        was_sick = self._verdicts.is_sick(verdict.target, count)
+        was_sick = self._verdicts.is_unhealthy(verdict.target, count)
         merged = self._verdicts.merge(verdict, self._timers.now(), count)
         if merged is None:
             return
-        if self._verdicts.is_sick(verdict.target, count) != was_sick:
+        if self._verdicts.is_unhealthy(verdict.target, count) != was_sick:
             self._notes.note_verdict(merged)
         self._spread(merged)
 
-    def _spread(self, verdict: verdicts_module.Verdict) -> None:
+    def _spread(self, verdict: shared_health_module.HealthState) -> None:
         others = [
             home.address
             for home in self._list_homes()
--- a/libs/node/vanillayoke/node/attempts.py
+++ b/libs/node/vanillayoke/node/attempts.py
@@ -143,7 +143,7 @@
             return decided
         self._parts.programs.write(decided)
         if call.attempts == 1:
-            self._parts.retries.note_call()
+            self._parts.retries.record_call()
         self._parts.logger.write(
             events.CALL_DISPATCHED,
             program=attempts.program.id,
--- a/libs/scheduling/vanillayoke/scheduling/health.py
+++ b/libs/scheduling/vanillayoke/scheduling/health.py
@@ -25,11 +25,11 @@
         self._pauses = 0
         self._paused_until = float('-inf')
 
-    def note_unreachable(self, now: float) -> bool:
+    def record_unreachable(self, now: float) -> bool:
         """Note that the target can't be reached; say if that pauses it."""
         return self._pause(now)
 
-    def note_outcome(self, is_good: bool, now: float) -> bool:
+    def record_outcome(self, is_good: bool, now: float) -> bool:
         """Note how a request has ended; say if that begins a pause."""
         self._bad += STEP * ((not is_good) - self._bad)
         if not is_good and self._bad > SICK:
@@ -40,14 +40,14 @@
             self._pauses = 0
         return False
 
-    def is_doubtful(self, now: float, under_way: int) -> bool:
+    def should_avoid(self, now: float, in_flight: int) -> bool:
         """Say whether the target is better left alone.
 
         Behind a pause it gets one request at a time until it is well.
         """
         if now < self._paused_until:
             return True
-        return bool(self._pauses) and self._bad >= WELL and under_way > 0
+        return bool(self._pauses) and self._bad >= WELL and in_flight > 0
 
     def _pause(self, now: float) -> bool:
         if now < self._paused_until:
--- a/libs/scheduling/vanillayoke/scheduling/tallies.py
+++ b/libs/scheduling/vanillayoke/scheduling/load_counts.py
@@ -28,7 +28,7 @@
     """
 
     requests: float
-    slowness: float = 1.0
+    latency_ratio: float = 1.0
 
 
 class _TargetCounts:
@@ -42,7 +42,7 @@
         self.ratio_updated_at = 0.0
 
 
-class Tallies:
+class LoadCounts:
     """Counts for the targets that this instance coordinates."""
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
         target: str,
         request: str,
         reported: int | None,
-        pace: float | None,
+        latency_ratio: float | None,
         now: float,
     ) -> None:
         """Record the end of a request and the load that its target reported.
@@ -76,15 +76,15 @@
         if reported is not None:
             counts.reported = max(0, reported - 1)
             counts.reported_at = now
-        if pace is not None:
+        if latency_ratio is not None:
             average = _get_average_ratio(counts, now)
-            pace = min(MAX_LATENCY_RATIO, pace)
+            latency_ratio = min(MAX_LATENCY_RATIO, latency_ratio)
             counts.average_ratio = average + LATENCY_RATIO_WEIGHT * (
-                pace - average
+                latency_ratio - average
             )
             counts.ratio_updated_at = now
 
-    def find_load(self, target: str, now: float) -> Load:
+    def get_load(self, target: str, now: float) -> Load:
         """Return the load of a target."""
         counts = self._targets.get(target)
         if counts is None:
@@ -103,12 +103,12 @@
         reported = counts.reported * 0.5 ** (age / REPORT_HALF_LIFE_SECONDS)
         return max(float(running), reported)
 
-    def forget(self, targets: typing.Container[str]) -> None:
+    def retain(self, targets: typing.Container[str]) -> None:
         """Discard the counts of targets that are not in ``targets``."""
         for name in [name for name in self._targets if name not in targets]:
             del self._targets[name]
 
-    def drop(self, target: str) -> None:
+    def reset(self, target: str) -> None:
         """Discard the counts of a target that has restarted."""
         self._targets.pop(target, None)
 
--- a/libs/scheduling/vanillayoke/scheduling/memory.py
+++ b/libs/scheduling/vanillayoke/scheduling/memory.py
@@ -78,7 +78,7 @@
         member.exported = False
         self._releases.hold(target, member.program)
 
-    def note_outcome(
+    def record_outcome(
         self, member: trees.Member, outcome: calls.Outcome, now: float
     ) -> None:
         """Take in what a call left behind."""
--- a/libs/scheduling/vanillayoke/scheduling/occupancy.py
+++ b/libs/scheduling/vanillayoke/scheduling/occupancy.py
@@ -9,9 +9,9 @@
 import typing
 
 from vanillayoke.scheduling import health
+from vanillayoke.scheduling import load_counts
 from vanillayoke.scheduling import prefixes
-from vanillayoke.scheduling import tallies
-from vanillayoke.scheduling import verdicts as verdicts_module
+from vanillayoke.scheduling import shared_health as shared_health_module
 
 REPORT_HALF_LIFE_SECONDS = 0.5
 SHED_PAUSE_SECONDS = 0.05
@@ -20,7 +20,7 @@
 RECENT_SUCCESS_SECONDS = 2.0
 
 
-class Report(typing.NamedTuple):
+class LoadReport(typing.NamedTuple):
     """A target's load as reported in a response."""
 
     running: int
@@ -28,7 +28,7 @@
     slots: int
 
 
-class Place(typing.NamedTuple):
+class Candidate(typing.NamedTuple):
     """A target that a request may be sent to."""
 
     name: str
@@ -38,7 +38,7 @@
 
 class _State:
     def __init__(self) -> None:
-        self.under_way = 0
+        self.in_flight = 0
         self.reported = 0.0
         self.reported_at = float('-inf')
         self.own_at_report = 0
@@ -58,113 +58,121 @@
 
     def __init__(
         self,
-        verdicts: verdicts_module.Verdicts | None = None,
+        shared_health: shared_health_module.SharedHealth | None = None,
         count_instances: typing.Callable[[], int] = lambda: 1,
         publish: typing.Callable[
-            [verdicts_module.Verdict], None
+            [shared_health_module.HealthState], None
         ] = lambda verdict: None,
     ) -> None:
         self._states: dict[str, _State] = {}
-        self.verdicts = verdicts or verdicts_module.Verdicts('', lambda: 0.5)
+        self.shared_health = (
+            shared_health or shared_health_module.SharedHealth('', lambda: 0.5)
+        )
         self._count_instances = count_instances
         self._publish = publish
 
     def begin(self, name: str) -> None:
         """Record that a request is sent to a target."""
-        self._get_state(name).under_way += 1
+        self._get_state(name).in_flight += 1
 
     def end(self, name: str) -> None:
         """Record that a request has ended, successfully or not."""
-        self._get_state(name).under_way -= 1
+        self._get_state(name).in_flight -= 1
 
-    def report(self, name: str, report: Report, now: float) -> None:
+    def record_report(
+        self, name: str, record_report: LoadReport, now: float
+    ) -> None:
         """Store the load report from a response."""
         state = self._get_state(name)
-        state.reported = report.running + report.waiting
+        state.reported = record_report.running + record_report.waiting
         state.reported_at = now
-        state.own_at_report = state.under_way
-        state.slots = report.slots
+        state.own_at_report = state.in_flight
+        state.slots = record_report.slots
 
-    def note_shed(self, name: str, now: float) -> None:
+    def record_shed(self, name: str, now: float) -> None:
         """Record that a target shed a request because it was full."""
         self._get_state(name).shed_until = now + SHED_PAUSE_SECONDS
 
-    def note_unreachable(self, name: str, now: float) -> None:
+    def record_unreachable(self, name: str, now: float) -> None:
         """Record that a target refused a connection or did not respond."""
-        self._get_state(name).health.note_unreachable(now)
+        self._get_state(name).health.record_unreachable(now)
         self._report_failure(name, now)
 
-    def note_outcome(self, name: str, is_good: bool, now: float) -> None:
+    def record_outcome(self, name: str, is_good: bool, now: float) -> None:
         """Record whether a request that a target accepted succeeded."""
         state = self._get_state(name)
-        is_paused = state.health.note_outcome(is_good, now)
+        is_paused = state.health.record_outcome(is_good, now)
         if is_good:
             state.last_success_at = now
-            self._publish_change(self.verdicts.note_good(name, now))
+            self._publish_change(self.shared_health.record_success(name, now))
         elif is_paused or now - state.last_success_at > RECENT_SUCCESS_SECONDS:
             self._report_failure(name, now)
 
-    def note_trial(self, name: str, now: float) -> None:
+    def record_probe(self, name: str, now: float) -> None:
         """Record a sent request, which probes a target if it is unhealthy."""
-        self.verdicts.note_trial(name, now, self._count_instances())
+        self.shared_health.record_probe(name, now, self._count_instances())
 
     def _report_failure(self, name: str, now: float) -> None:
         count = self._count_instances()
-        self._publish_change(self.verdicts.report(name, now, count))
+        self._publish_change(
+            self.shared_health.report_failure(name, now, count)
+        )
 
-    def _publish_change(self, state: verdicts_module.Verdict | None) -> None:
+    def _publish_change(
+        self, state: shared_health_module.HealthState | None
+    ) -> None:
         if state is not None:
             self._publish(state)
 
-    def forget(self, names: typing.Container[str]) -> None:
+    def retain(self, names: typing.Container[str]) -> None:
         """Discard the state of targets that are not in ``names``."""
         for name, state in list(self._states.items()):
-            if name not in names and state.under_way <= 0:
+            if name not in names and state.in_flight <= 0:
                 del self._states[name]
-        self.verdicts.forget(names)
+        self.shared_health.retain(names)
 
-    def restart(self, name: str) -> None:
+    def handle_restart(self, name: str) -> None:
         """Discard what is known of a target's previous process.
 
         Requests in flight stay counted until they end.
         """
         state = self._states.pop(name, None)
-        if state is not None and state.under_way > 0:
-            self._get_state(name).under_way = state.under_way
-        self.verdicts.restart(name)
+        if state is not None and state.in_flight > 0:
+            self._get_state(name).in_flight = state.in_flight
+        self.shared_health.handle_restart(name)
 
-    def estimate(self, name: str, now: float) -> float:
+    def estimate_requests(self, name: str, now: float) -> float:
         """Return the estimated number of requests at a target."""
         state = self._states.get(name)
         if state is None:
             return 0.0
         age = max(0.0, now - state.reported_at)
         others = max(0.0, state.reported - state.own_at_report)
-        return state.under_way + others * 0.5 ** (
+        return state.in_flight + others * 0.5 ** (
             age / REPORT_HALF_LIFE_SECONDS
         )
 
-    def fill(self, place: Place, now: float) -> float:
+    def get_utilisation(self, place: Candidate, now: float) -> float:
         """Return requests per slot; above 1 means that some are queued."""
-        return self.estimate(place.name, now) / self.find_slots(place)
+        return self.estimate_requests(place.name, now) / self.get_slots(place)
 
-    def find_slots(self, place: Place) -> int:
+    def get_slots(self, place: Candidate) -> int:
         """Return how many requests a target runs concurrently."""
         state = self._states.get(place.name)
         if state is not None and state.slots:
             return state.slots
         return max(1, place.slots)
 
-    def is_doubtful(self, name: str, now: float) -> bool:
+    def should_avoid(self, name: str, now: float) -> bool:
         """Return whether no request should be sent to a target now."""
-        if self.verdicts.is_sick(name, self._count_instances()):
-            return not self.verdicts.may_try(name, now)
+        if self.shared_health.is_unhealthy(name, self._count_instances()):
+            return not self.shared_health.may_probe(name, now)
         state = self._states.get(name)
         if state is None:
             return False
-        return state.health.is_doubtful(now, state.under_way)
+        return state.health.should_avoid(now, state.in_flight)
 
-    def has_shed(self, name: str, now: float) -> bool:
+    def has_recently_shed(self, name: str, now: float) -> bool:
         """Return whether a target shed within ``SHED_PAUSE_SECONDS``."""
         state = self._states.get(name)
         return state is not None and now < state.shed_until
@@ -176,7 +184,7 @@
         return state
 
 
-class Wish(typing.NamedTuple):
+class PlacementCriteria(typing.NamedTuple):
     """What makes one target preferable to another for a request.
 
     ``favourite`` is the target that holds the session's cache, ``zone`` the
@@ -188,12 +196,12 @@
     an idle target.
     """
 
-    favourite: str | None
+    affinity_target: str | None
     zone: str
     slope: float = 0.0
-    shared: str | None = None
-    step: float = 0.0
-    own: float = 0.0
+    shared_prefix: str | None = None
+    rank_cost: float = 0.0
+    affinity_value: float = 0.0
 
 
 # Subtracted from the score of the target with the session's cache. Scores are
@@ -225,15 +233,15 @@
     loaded.
     """
 
-    near: list[Place]
-    far: list[Place]
+    local: list[Candidate]
+    remote: list[Candidate]
 
 
 def choose_candidates(
-    places: typing.Sequence[Place],
+    places: typing.Sequence[Candidate],
     occupancy: Occupancy,
-    wish: Wish,
-    passed: typing.Container[str],
+    wish: PlacementCriteria,
+    excluded: typing.Container[str],
     now: float,
     draw: typing.Callable[[], float],
 ) -> Candidates:
@@ -243,22 +251,26 @@
     too many are unhealthy: the view of one instance must not take a whole
     service out of use.
     """
-    ready = _list_ready(places, occupancy, passed, now)
+    ready = _list_ready(places, occupancy, excluded, now)
     ready.sort(key=lambda place: draw())
-    if wish.step > 0:
-        ranks = find_steps(ready, wish)
+    if wish.rank_cost > 0:
+        ranks = rank_within_zones(ready, wish)
         ready.sort(key=lambda place: ranks[place.name])
-    favourite = [place for place in ready if place.name == wish.favourite]
-    others = [place for place in ready if place.name != wish.favourite]
-    near = [place for place in others if place.zone == wish.zone]
-    far = [place for place in others if place.zone != wish.zone]
+    affinity_target = [
+        place for place in ready if place.name == wish.affinity_target
+    ]
+    others = [place for place in ready if place.name != wish.affinity_target]
+    local = [place for place in others if place.zone == wish.zone]
+    remote = [place for place in others if place.zone != wish.zone]
     return Candidates(
-        favourite + near[:MAX_CANDIDATES],
-        near[MAX_CANDIDATES:] + far[:MAX_CANDIDATES],
+        affinity_target + local[:MAX_CANDIDATES],
+        local[MAX_CANDIDATES:] + remote[:MAX_CANDIDATES],
     )
 
 
-def find_steps(places: typing.Iterable[Place], wish: Wish) -> dict[str, int]:
+def rank_within_zones(
+    places: typing.Iterable[Candidate], wish: PlacementCriteria
+) -> dict[str, int]:
     """Return the rank of each target within its zone for a shared prefix.
 
     Targets are ranked per zone, so that each zone has engines that hold the
@@ -267,7 +279,7 @@
     ranks: dict[str, int] = {}
     counts: collections.Counter[str] = collections.Counter()
     zones = {place.name: place.zone for place in places}
-    for name in prefixes.order(wish.shared, zones):
+    for name in prefixes.rank_targets(wish.shared_prefix, zones):
         zone = zones[name]
         ranks[name] = min(counts[zone], prefixes.MAX_RANK)
         counts[zone] += 1
@@ -275,28 +287,32 @@
 
 
 def _list_ready(
-    places: typing.Sequence[Place],
+    places: typing.Sequence[Candidate],
     occupancy: Occupancy,
-    passed: typing.Container[str],
+    excluded: typing.Container[str],
     now: float,
-) -> list[Place]:
+) -> list[Candidate]:
     """Return the targets that are healthy and have not just shed requests."""
-    usable = [place for place in places if place.name not in passed]
+    usable = [place for place in places if place.name not in excluded]
     healthy = [
-        place for place in usable if not occupancy.is_doubtful(place.name, now)
+        place
+        for place in usable
+        if not occupancy.should_avoid(place.name, now)
     ]
     if len(healthy) < MIN_HEALTHY_RATIO * len(usable):
         healthy = usable
     return [
-        place for place in healthy if not occupancy.has_shed(place.name, now)
+        place
+        for place in healthy
+        if not occupancy.has_recently_shed(place.name, now)
     ]
 
 
-def is_light(
-    place: Place,
-    loads: typing.Mapping[str, tallies.Load],
+def is_lightly_loaded(
+    place: Candidate,
+    loads: typing.Mapping[str, load_counts.Load],
     view: Occupancy,
-    wish: Wish,
+    wish: PlacementCriteria,
 ) -> bool:
     """Return whether a target is good enough to skip the remote candidates.
 
@@ -304,20 +320,20 @@
     it down by less than ``MAX_LOCAL_SLOWDOWN_RATIO``.
     """
     load = loads.get(place.name)
-    if load is None or load.slowness != 1.0:
+    if load is None or load.latency_ratio != 1.0:
         return False
     is_fast = wish.slope * load.requests < MAX_LOCAL_SLOWDOWN_RATIO
-    return load.requests < view.find_slots(place) and is_fast
+    return load.requests < view.get_slots(place) and is_fast
 
 
-def choose_counted(
-    places: typing.Sequence[Place],
-    loads: typing.Mapping[str, tallies.Load],
+def choose_least_loaded(
+    places: typing.Sequence[Candidate],
+    loads: typing.Mapping[str, load_counts.Load],
     occupancy: Occupancy,
-    wish: Wish,
+    wish: PlacementCriteria,
     now: float,
     draw: typing.Callable[[], float],
-) -> Place | None:
+) -> Candidate | None:
     """Return the target with the lowest score, ``None`` without targets.
 
     Targets that are missing in ``loads`` are judged by this instance's own
@@ -326,21 +342,23 @@
     """
     best = None
     lowest = 0.0
-    ranks = find_steps(places, wish) if wish.step > 0 else {}
+    ranks = rank_within_zones(places, wish) if wish.rank_cost > 0 else {}
     for place in places:
-        slots = occupancy.find_slots(place)
+        slots = occupancy.get_slots(place)
         load = loads.get(place.name)
         if load is None:
-            load = tallies.Load(occupancy.estimate(place.name, now))
+            load = load_counts.Load(
+                occupancy.estimate_requests(place.name, now)
+            )
         score = max(LOW_UTILISATION, load.requests / slots)
         score += wish.slope * load.requests
         if load.requests >= slots:
             score += FULL_PENALTY
-        score = score * load.slowness + MAX_JITTER * draw()
-        if place.name == wish.favourite:
-            score -= AFFINITY_BONUS + wish.own
+        score = score * load.latency_ratio + MAX_JITTER * draw()
+        if place.name == wish.affinity_target:
+            score -= AFFINITY_BONUS + wish.affinity_value
         else:
-            score += wish.step * ranks.get(place.name, 0)
+            score += wish.rank_cost * ranks.get(place.name, 0)
         if place.zone == wish.zone:
             score -= LOCAL_ZONE_BONUS
         if best is None or score < lowest:
@@ -348,14 +366,14 @@
     return best
 
 
-def choose_place(
-    places: typing.Sequence[Place],
+def choose_by_own_view(
+    places: typing.Sequence[Candidate],
     occupancy: Occupancy,
-    wish: Wish,
-    passed: typing.Container[str],
+    wish: PlacementCriteria,
+    excluded: typing.Container[str],
     now: float,
     draw: typing.Callable[[], float],
-) -> Place | None:
+) -> Candidate | None:
     """Return the best target by this instance's own view alone."""
-    ready = _list_ready(places, occupancy, passed, now)
-    return choose_counted(ready, {}, occupancy, wish, now, draw)
+    ready = _list_ready(places, occupancy, excluded, now)
+    return choose_least_loaded(ready, {}, occupancy, wish, now, draw)
--- a/libs/scheduling/vanillayoke/scheduling/outages.py
+++ b/libs/scheduling/vanillayoke/scheduling/outages.py
@@ -28,7 +28,7 @@
 LONGEST_PAUSE_SHARE = 0.32
 # A caller that waited to the end of its time comes back at once: its next
 # try waits in its turn. Seconds.
-SHORTEST_PAUSE = 0.05
+MIN_PAUSE_SECONDS = 0.05
 
 
 class Outage(typing.NamedTuple):
@@ -38,7 +38,7 @@
     earlier: tuple[float, ...] = ()
 
 
-class Waiting(typing.NamedTuple):
+class PendingTurn(typing.NamedTuple):
     """A turn that needs the store before it can run.
 
     ``left`` is the time in seconds until its caller's deadline, ``silence``
@@ -46,45 +46,45 @@
     serve it.
     """
 
-    left: float
-    silence: float
-    needed: float
+    time_left: float
+    response_timeout: float
+    service_time: float
 
 
-class Finished(typing.NamedTuple):
+class CompletedTurn(typing.NamedTuple):
     """A turn that has run: only its row is missing.
 
     ``left`` is the time in seconds until its caller gives up.
     """
 
-    left: float
+    time_left: float
 
 
 class Wait(typing.NamedTuple):
     """Wait for the store, so many seconds at the most."""
 
-    longest: float
+    timeout: float
 
 
 class Refuse(typing.NamedTuple):
     """Tell the caller to come back after a pause in seconds."""
 
-    pause: float
+    retry_after: float
 
 
-def decide(outage: Outage, turn: Waiting | Finished) -> Wait | Refuse:
+def decide(outage: Outage, turn: PendingTurn | CompletedTurn) -> Wait | Refuse:
     """Return what becomes of a turn that meets a store that is away."""
     match turn:
-        case Finished(left):
+        case CompletedTurn(time_left):
             # Its answer is there; it is handed over as soon as its row
             # stands, for as long as its caller is there to take it.
-            return Wait(max(0.0, left))
-        case Waiting(left, silence, needed):
-            spare = min(left, silence) - needed
+            return Wait(max(0.0, time_left))
+        case PendingTurn(time_left, response_timeout, service_time):
+            spare = min(time_left, response_timeout) - service_time
             if spare <= 0:
-                return Refuse(min(SHORTEST_PAUSE, _bound_pause(left)))
+                return Refuse(min(MIN_PAUSE_SECONDS, _bound_pause(time_left)))
             if find_chance(outage, spare) < LEAST_CHANCE:
-                return Refuse(_bound_pause(left))
+                return Refuse(_bound_pause(time_left))
             return Wait(spare)
 
 
@@ -99,7 +99,11 @@
 
 
 def find_bridged(
-    sends: int, tries: int, deadline: float, silence: float, needed: float
+    sends: int,
+    tries: int,
+    deadline: float,
+    response_timeout: float,
+    service_time: float,
 ) -> float:
     """Return the longest outage that a turn outlives, in seconds.
 
@@ -109,20 +113,22 @@
     """
     now = 0.0
     for _ in range(sends):
-        left = deadline
+        time_left = deadline
         for _ in range(tries):
-            turn = Waiting(left, silence, needed)
+            turn = PendingTurn(time_left, response_timeout, service_time)
             match decide(Outage(now), turn):
-                case Wait(longest):
-                    now += longest
-                    left -= longest
-                    pause = min(SHORTEST_PAUSE, _bound_pause(left))
-                case Refuse(pause):
+                case Wait(timeout):
+                    now += timeout
+                    time_left -= timeout
+                    retry_after = min(
+                        MIN_PAUSE_SECONDS, _bound_pause(time_left)
+                    )
+                case Refuse(retry_after):
                     pass
-            now += pause
-            left -= pause
+            now += retry_after
+            time_left -= retry_after
     return math.floor(now * 10) / 10
 
 
-def _bound_pause(left: float) -> float:
-    return max(0.0, left) * LONGEST_PAUSE_SHARE
+def _bound_pause(time_left: float) -> float:
+    return max(0.0, time_left) * LONGEST_PAUSE_SHARE
--- a/libs/scheduling/vanillayoke/scheduling/placement.py
+++ b/libs/scheduling/vanillayoke/scheduling/placement.py
@@ -20,7 +20,7 @@
 _GAP_CONFIDENCE = 0.98
 
 
-class Place(typing.NamedTuple):
+class Location(typing.NamedTuple):
     """Where the deciding instance is."""
 
     zone: str
@@ -36,7 +36,7 @@
 
 def choose(
     policy: policies.Placement,
-    place: Place,
+    place: Location,
     demand: calls.CallDemand,
     member: trees.Member | None,
     able: typing.Sequence[views.TargetView],
@@ -70,7 +70,7 @@
 
 def _weigh(
     policy: policies.Placement,
-    place: Place,
+    place: Location,
     demand: calls.CallDemand,
     member: trees.Member | None,
     view: views.TargetView,
@@ -106,7 +106,7 @@
     return missing * PREFILL_SECONDS
 
 
-def _measure_distance(place: Place, view: views.TargetView) -> float:
+def _measure_distance(place: Location, view: views.TargetView) -> float:
     if view.spec.region != place.region:
         return _REGION_SECONDS
     if view.spec.zone != place.zone:
--- a/libs/scheduling/vanillayoke/scheduling/prefixes.py
+++ b/libs/scheduling/vanillayoke/scheduling/prefixes.py
@@ -32,22 +32,24 @@
 MAX_RANK = 3
 
 
-class Shared(typing.NamedTuple):
+class SharedPrefix(typing.NamedTuple):
     """The part of a prompt that other programs begin with too."""
 
     name: str
     tokens: int
 
 
-def find_shared(parts: typing.Sequence[tuple[str, int]]) -> Shared | None:
+def get_shared_prefix(
+    parts: typing.Sequence[tuple[str, int]],
+) -> SharedPrefix | None:
     """Return the part that a prompt shares, from its parts in order.
 
     The last part is the request's or its session's own.
     """
-    return Shared(*parts[0]) if len(parts) > 1 else None
+    return SharedPrefix(*parts[0]) if len(parts) > 1 else None
 
 
-def find_own(
+def estimate_affinity_value(
     parts: typing.Sequence[tuple[str, int]], capacity: int, slots: int
 ) -> float:
     """Return what a prompt's own part is worth at the target that holds it.
@@ -61,7 +63,7 @@
     return min(MOST_OWN, tokens * slots / capacity)
 
 
-class Prefixes:
+class RecentPrefixes:
     """The shared prefixes of one service that were seen of late."""
 
     def __init__(self) -> None:
@@ -70,7 +72,7 @@
         )
         self._tokens = 0
 
-    def note(self, shared: Shared, now: float) -> None:
+    def record(self, shared: SharedPrefix, now: float) -> None:
         """Take that a request begins with a prefix."""
         known = self._seen.pop(shared.name, None)
         if known is not None:
@@ -84,7 +86,7 @@
             self._seen.popitem(last=False)
             self._tokens -= tokens
 
-    def find_step(self, capacity: int) -> float:
+    def get_rank_cost(self, capacity: int) -> float:
         """Return what a step down the order costs now.
 
         ``capacity`` is an engine's memory in tokens; 0 if it has none.
@@ -94,7 +96,7 @@
         return STEP * min(1.0, self._tokens / capacity)
 
 
-def order(shared: str, targets: typing.Iterable[str]) -> list[str]:
+def rank_targets(shared: str, targets: typing.Iterable[str]) -> list[str]:
     """Return the targets in the order in which they hold a prefix."""
     seed = xxhash.xxh3_64_intdigest(shared.encode())
     return sorted(
--- a/libs/scheduling/vanillayoke/scheduling/outlook.py
+++ b/libs/scheduling/vanillayoke/scheduling/program_slack.py
@@ -31,10 +31,10 @@
 
     left: float
     overdue: float
-    aim: float
+    time_limit: float
 
 
-class ProgramClock:
+class DelayTracker:
     """What one program has lost, line of turns by line of turns.
 
     The first line seen is the program's own; others are sub-agents, which
@@ -42,53 +42,57 @@
     """
 
     def __init__(self, session: str, now: float, time_left: float) -> None:
-        self.began = now
-        self.aim = time_left
-        self.used_at = now
+        self.started_at = now
+        self.time_limit = time_left
+        self.last_active_at = now
         self._own = session
         self._lost: dict[str, float] = {session: 0.0}
 
     @property
-    def lost(self) -> float:
+    def delay(self) -> float:
         """What the program has lost, in seconds."""
         return max(self._lost.values())
 
-    def arrive(self, session: str, now: float, time_left: float) -> None:
+    def start_turn(self, session: str, now: float, time_left: float) -> None:
         """Note that a turn of a line begins."""
-        self.used_at = now
+        self.last_active_at = now
         if time_left > 0:
             # A clock that was begun in the middle of the program learns the
             # whole time bit by bit.
-            self.aim = max(self.aim, now - self.began + time_left)
+            self.time_limit = max(
+                self.time_limit, now - self.started_at + time_left
+            )
         if session == self._own:
-            self._lost[session] = self.lost
+            self._lost[session] = self.delay
         else:
             self._lost.setdefault(session, self._lost[self._own])
 
-    def lose(self, session: str, seconds: float, now: float) -> None:
+    def record_delay(self, session: str, seconds: float, now: float) -> None:
         """Note that a line lost time to waiting."""
-        self.used_at = now
+        self.last_active_at = now
         self._lost[session] = self._lost.get(session, 0.0) + seconds
 
-    def estimate(self, session: str, now: float, idle_share: float) -> Slack:
+    def estimate_slack(
+        self, session: str, now: float, idle_share: float
+    ) -> Slack:
         """Return what is left to a line of the program."""
-        lost = self._lost.get(session, self.lost)
-        left = self.aim * (1 - idle_share) - lost
-        overdue = now - self.began - self.aim
-        return Slack(min(left, -overdue), overdue, self.aim)
+        delay = self._lost.get(session, self.delay)
+        left = self.time_limit * (1 - idle_share) - delay
+        overdue = now - self.started_at - self.time_limit
+        return Slack(min(left, -overdue), overdue, self.time_limit)
 
 
-class IdleShare:
+class IdleTimeRatio:
     """Learns what share of their time programs of a route take when idle."""
 
     def __init__(self) -> None:
         self.value = FIRST_SHARE
 
-    def learn(self, clock: ProgramClock) -> None:
+    def learn(self, clock: DelayTracker) -> None:
         """Take a program that has ended."""
-        if clock.aim <= 0 or clock.lost > MOST_LOST * clock.aim:
+        if clock.time_limit <= 0 or clock.delay > MOST_LOST * clock.time_limit:
             return
-        share = (clock.used_at - clock.began) / clock.aim
+        share = (clock.last_active_at - clock.started_at) / clock.time_limit
         # Moves a quantile's estimate up or down by a small step.
         if share > self.value:
             self.value += LEARNING_STEP * SHARE_QUANTILE
@@ -97,7 +101,7 @@
         self.value = min(0.95, max(0.2, self.value))
 
 
-class Usual:
+class TypicalTime:
     """The usual time of something, as a low quantile of what is seen.
 
     Queues only add to a time, so the quick part of what is seen tells what
@@ -117,7 +121,7 @@
             self.value -= step * (1 - self._quantile)
 
 
-class Mean:
+class AverageTime:
     """The mean time of something, followed slowly.
 
     Single long times count as a few times the mean at the most, so that a
--- a/libs/scheduling/vanillayoke/scheduling/quotas.py
+++ b/libs/scheduling/vanillayoke/scheduling/quotas.py
@@ -35,7 +35,7 @@
 SHORTEST_LOOP = 50
 # The most programs that are remembered for one organisation.
 MOST_PROGRAMS = 1000
-SHORTEST_PAUSE = 0.05
+MIN_PAUSE_SECONDS = 0.05
 # While an organisation uses little, requests are admitted everywhere and told
 # afterwards. Its use is close to the limit if it would pass this share of it
 # within so many times RECENT at its present pace, or with what its programs
@@ -48,7 +48,7 @@
 OVERRUN_SHARE = 0.4
 # A home writes its account down each time that it has admitted this share of
 # that rest. What is left covers what is on its way.
-SAVED_SHARE = 0.6
+SAVE_RATIO = 0.6
 
 
 class Limit(typing.NamedTuple):
@@ -85,7 +85,7 @@
     requests: float = 0.0
 
 
-def find_reserve(limit: Limit, lost: float, is_known: bool) -> float:
+def get_reserve(limit: Limit, lost: float, is_known: bool) -> float:
     """Return how much of a limit may be used without a trace.
 
     ``lost`` is the share of instances that were lost within a window. What
@@ -96,13 +96,13 @@
     return max(0.0, lost * limit.requests - limit.tolerance)
 
 
-def find_first_reserve(limit: Limit, is_known: bool) -> float:
+def get_initial_reserve(limit: Limit, is_known: bool) -> float:
     """Return how much a new home keeps back until it was told all.
 
     The home before may go on for those that have not heard of the change.
     """
     beside = limit.overrun + limit.tolerance
-    return max(beside, find_reserve(limit, 1.0, is_known))
+    return max(beside, get_reserve(limit, 1.0, is_known))
 
 
 class Admitted(typing.NamedTuple):
@@ -116,7 +116,7 @@
     for programs that have begun; ``is_new`` says that the program has not.
     """
 
-    pause: float
+    retry_after: float
     used: int
     expected: int
     limit: float
@@ -126,7 +126,7 @@
 Decision = Admitted | Refused
 
 
-class Asked(typing.NamedTuple):
+class AdmissionRequest(typing.NamedTuple):
     """A request that asks to be admitted; '' where there is no program."""
 
     program: str
@@ -137,7 +137,7 @@
     def __init__(self, route: str, now: float) -> None:
         self.route = route
         self.began = now
-        self.seen = now
+        self.last_used_at = now
         self.sent = 0
         self.is_learned = False
 
@@ -160,12 +160,12 @@
         counts[index] += count
         self._totals[index] += count
 
-    def forget(self, reporter: str) -> None:
+    def remove_reporter(self, reporter: str) -> None:
         """Forget what came from a reporter, who tells it all anew."""
         for index, count in self._reported.pop(reporter, {}).items():
             self._totals[index] -= count
 
-    def inherit(self, counts: typing.Iterable[tuple[float, int]]) -> None:
+    def restore(self, counts: typing.Iterable[tuple[float, int]]) -> None:
         """Take over a former account: moments and counts of all reporters."""
         self._inherited = {}
         for at, count in counts:
@@ -180,13 +180,13 @@
             count for index, count in self._list_counts() if index >= first
         )
 
-    def find_room(self, now: float, excess: float) -> float:
+    def estimate_wait(self, now: float, excess: float) -> float:
         """Return in how many seconds so many requests leave the window."""
         for index, count in sorted(self._list_counts()):
             excess -= count
             if excess <= 0:
                 left = (index + 1) * self._width + self.length - now
-                return min(self.length, max(SHORTEST_PAUSE, left))
+                return min(self.length, max(MIN_PAUSE_SECONDS, left))
         return self.length
 
     def list_counts(self) -> list[tuple[float, int]]:
@@ -219,7 +219,7 @@
             yield index, max(self._totals[index], inherited)
 
 
-class Needs:
+class ProgramStatistics:
     """How many requests programs send and how long they take, by route."""
 
     def __init__(self) -> None:
@@ -245,7 +245,7 @@
     used without a trace.
     """
 
-    def __init__(self, window: float, needs: Needs) -> None:
+    def __init__(self, window: float, needs: ProgramStatistics) -> None:
         self.window = Window(window)
         self._needs = needs
         self._programs: collections.OrderedDict[str, _Program] = (
@@ -254,7 +254,7 @@
         self.limit = Limit(0.0, 0.0, 0.0, window)
         self.version = 0
         self.reserve = 0.0
-        self.seen = float('-inf')
+        self.last_used_at = float('-inf')
 
     def set_limit(self, limit: Limit, version: int) -> None:
         """Take a limit over unless a newer one is known."""
@@ -262,9 +262,9 @@
             self.limit = limit
             self.version = version
 
-    def note(self, asked: Asked, count: int, now: float) -> None:
+    def record(self, asked: AdmissionRequest, count: int, now: float) -> None:
         """Note requests of a program that were admitted elsewhere."""
-        self.seen = now
+        self.last_used_at = now
         if not asked.program:
             return
         program = self._programs.get(asked.program)
@@ -274,11 +274,13 @@
             if len(self._programs) > MOST_PROGRAMS:
                 self._programs.popitem(last=False)
         program.route = program.route or asked.route
-        program.seen = now
+        program.last_used_at = now
         program.sent += count
         self._programs.move_to_end(asked.program)
 
-    def ask(self, reporter: str, asked: Asked, now: float) -> Decision:
+    def request_admission(
+        self, reporter: str, asked: AdmissionRequest, now: float
+    ) -> Decision:
         """Admit a request, or refuse it."""
         self._end_programs(now)
         used = self.window.count(now)
@@ -293,11 +295,13 @@
             excess = used + kept + 1 - room
             if excess <= 0:
                 return self._admit(reporter, asked, now)
-            pause = self.window.find_room(now, excess)
-            return Refused(pause, used, round(kept), limit.requests, False)
+            retry_after = self.window.estimate_wait(now, excess)
+            return Refused(
+                retry_after, used, round(kept), limit.requests, False
+            )
         return self._ask_new(reporter, asked, used, room, now)
 
-    def is_close(self, now: float) -> bool:
+    def is_near_limit(self, now: float) -> bool:
         """Say whether the limit may be reached in a moment."""
         recent = LOOKAHEAD * self.window.count(now, RECENT)
         coming = max(recent, self._find_expected(now))
@@ -307,7 +311,7 @@
     def _ask_new(
         self,
         reporter: str,
-        asked: Asked,
+        asked: AdmissionRequest,
         used: int,
         room: float,
         now: float,
@@ -321,12 +325,16 @@
         is_alone = not expected and used + 1 <= room
         if (excess <= 0 and used + 1 <= room) or is_alone:
             return self._admit(reporter, asked, now)
-        pause = self.window.find_room(now, excess)
-        return Refused(pause, used, round(expected), self.limit.requests, True)
+        retry_after = self.window.estimate_wait(now, excess)
+        return Refused(
+            retry_after, used, round(expected), self.limit.requests, True
+        )
 
-    def _admit(self, reporter: str, asked: Asked, now: float) -> Decision:
+    def _admit(
+        self, reporter: str, asked: AdmissionRequest, now: float
+    ) -> Decision:
         self.window.add(reporter, now, 1)
-        self.note(asked, 1, now)
+        self.record(asked, 1, now)
         return Admitted()
 
     def _may_loop(self, program: _Program) -> bool:
@@ -340,7 +348,7 @@
         """
         total = 0.0
         for name, program in reversed(self._programs.items()):
-            if now - program.seen > PROGRAM_REST:
+            if now - program.last_used_at > PROGRAM_REST:
                 break
             if name == but:
                 continue
@@ -352,11 +360,11 @@
     def _end_programs(self, now: float) -> None:
         """Learn from the programs that have ended, and forget old ones."""
         for name, program in list(self._programs.items()):
-            if now - program.seen < PROGRAM_REST:
+            if now - program.last_used_at < PROGRAM_REST:
                 break
             if not program.is_learned:
                 program.is_learned = True
-                time = program.seen - program.began
+                time = program.last_used_at - program.began
                 self._needs.learn(program.route, program.sent, time)
-            if now - program.seen >= PROGRAM_MEMORY:
+            if now - program.last_used_at >= PROGRAM_MEMORY:
                 del self._programs[name]
--- a/libs/scheduling/vanillayoke/scheduling/retries.py
+++ b/libs/scheduling/vanillayoke/scheduling/retries.py
@@ -29,7 +29,7 @@
         """Take over the fraction in force."""
         self._fraction = fraction
 
-    def note_call(self) -> None:
+    def record_call(self) -> None:
         """Count a first attempt."""
         self._saved = min(_MOST_SAVED, self._saved + self._fraction)
 
--- a/libs/scheduling/vanillayoke/scheduling/scheduler.py
+++ b/libs/scheduling/vanillayoke/scheduling/scheduler.py
@@ -34,7 +34,7 @@
     def __init__(
         self,
         policy: policies.Policies,
-        place: placement.Place,
+        place: placement.Location,
         source: random.Random,
     ) -> None:
         self._policy = policy
@@ -62,7 +62,7 @@
         """Build from the policy in force and the instance's own place."""
         return cls(
             policies.Policies.from_config(policy),
-            placement.Place(zone, region),
+            placement.Location(zone, region),
             source,
         )
 
@@ -211,7 +211,7 @@
         self._shares.charge(demand.client, outcome.seconds)
         member = self._forest.get(demand.program)
         if member is not None:
-            self._memory.note_outcome(member, outcome, now)
+            self._memory.record_outcome(member, outcome, now)
 
     def pause(self, program: str, tool: str, now: float) -> None:
         """Note that a program waits for a tool."""
--- a/libs/scheduling/vanillayoke/scheduling/verdicts.py
+++ b/libs/scheduling/vanillayoke/scheduling/shared_health.py
@@ -20,12 +20,12 @@
 # single requests.
 QUORUM_WINDOW_SECONDS = 1.5
 # Average interval between probes of one target by all instances together.
-TRIAL_PAUSE = 0.5
+PROBE_INTERVAL_SECONDS = 0.5
 # Consecutive successful requests of one instance that end an episode.
 MIN_SUCCESSFUL_PROBES = 2
 
 
-class Verdict(typing.NamedTuple):
+class HealthState(typing.NamedTuple):
     """The state of a target's newest episode.
 
     ``reporters`` are the instances that saw requests fail, sorted, at most
@@ -40,14 +40,14 @@
 
 
 class _Record:
-    def __init__(self, state: Verdict, now: float) -> None:
+    def __init__(self, state: HealthState, now: float) -> None:
         self.state = state
         self.received_at = now
         self.probe_at = float('inf')
         self.successful_probes = 0
 
 
-class Verdicts:
+class SharedHealth:
     """One instance's copy of the health states of all targets."""
 
     def __init__(
@@ -57,9 +57,9 @@
         self._draw = draw
         self._records: dict[str, _Record] = {}
 
-    def report(
+    def report_failure(
         self, target: str, now: float, instances: int
-    ) -> Verdict | None:
+    ) -> HealthState | None:
         """Record a failed request; return the state to gossip, if any."""
         record = self._records.get(target)
         if record is None:
@@ -70,10 +70,10 @@
             episode = record.state.episode
         if record is not None:
             record.successful_probes = 0
-        state = Verdict(target, episode, (self._instance,), False)
+        state = HealthState(target, episode, (self._instance,), False)
         return self.merge(state, now, instances)
 
-    def note_good(self, target: str, now: float) -> Verdict | None:
+    def record_success(self, target: str, now: float) -> HealthState | None:
         """Record a successful request; return the state to gossip, if any."""
         record = self._records.get(target)
         if record is None or record.state.is_over:
@@ -86,8 +86,8 @@
         return self.merge(state, now, 1)
 
     def merge(
-        self, state: Verdict, now: float, instances: int
-    ) -> Verdict | None:
+        self, state: HealthState, now: float, instances: int
+    ) -> HealthState | None:
         """Merge a state received from another instance.
 
         Return the merged state, to be gossiped further, or ``None`` if the
@@ -106,23 +106,23 @@
             record.probe_at = now + self._draw_probe_delay(instances)
         return merged
 
-    def is_sick(self, target: str, instances: int) -> bool:
+    def is_unhealthy(self, target: str, instances: int) -> bool:
         """Return whether a quorum of instances saw the target fail."""
         record = self._records.get(target)
         return record is not None and self._has_quorum(record, instances)
 
-    def may_try(self, target: str, now: float) -> bool:
+    def may_probe(self, target: str, now: float) -> bool:
         """Return whether this instance may probe an unhealthy target now."""
         record = self._records.get(target)
         return record is None or now >= record.probe_at
 
-    def note_trial(self, target: str, now: float, instances: int) -> None:
+    def record_probe(self, target: str, now: float, instances: int) -> None:
         """Record a request to a target and schedule the next probe."""
         record = self._records.get(target)
         if record is not None and self._has_quorum(record, instances):
             record.probe_at = now + self._draw_probe_delay(instances)
 
-    def restart(self, target: str) -> None:
+    def handle_restart(self, target: str) -> None:
         """End the episode of a target that has restarted.
 
         Every instance detects the restart by itself, so nothing is gossiped.
@@ -132,13 +132,13 @@
         if record is not None:
             record.state = record.state._replace(is_over=True)
 
-    def forget(self, targets: typing.Container[str]) -> None:
+    def retain(self, targets: typing.Container[str]) -> None:
         """Discard the states of targets that are not in ``targets``."""
         for name in [name for name in self._records if name not in targets]:
             del self._records[name]
 
     def _draw_probe_delay(self, instances: int) -> float:
-        return 2 * self._draw() * TRIAL_PAUSE * max(1, instances)
+        return 2 * self._draw() * PROBE_INTERVAL_SECONDS * max(1, instances)
 
     def _has_expired(
         self, record: _Record, now: float, instances: int
@@ -152,7 +152,7 @@
         return not state.is_over and len(state.reporters) >= quorum
 
 
-def _merge(known: Verdict | None, new: Verdict) -> Verdict:
+def _merge(known: HealthState | None, new: HealthState) -> HealthState:
     if known is None or new.episode > known.episode:
         return new
     if new.episode < known.episode:
--- a/libs/scheduling/vanillayoke/scheduling/urgency.py
+++ b/libs/scheduling/vanillayoke/scheduling/urgency.py
@@ -6,11 +6,11 @@
 all that can, and one so late that its end is worth nothing goes last.
 """
 
-from vanillayoke.scheduling import outlook
+from vanillayoke.scheduling import program_slack
 
 # Levels that targets know: 0 goes first, 9 last, 5 if nothing is said.
 LEAST_URGENT = 9
-UNKNOWN = 5
+DEFAULT_LEVEL = 5
 LATE = 8
 # What a program may still lose, in seconds, up to which it gets each level: a
 # turn or two of waiting, and a few more. Few levels, since each step lets a
@@ -25,14 +25,14 @@
 PRIORITY_FACTOR = 1.5
 
 
-def rank(slack: outlook.Slack | None, priority: int) -> int:
+def get_level(slack: program_slack.Slack | None, priority: int) -> int:
     """Return the level to tell the target.
 
     ``priority`` is the route's rank, 0 the highest.
     """
     if slack is None:
-        return UNKNOWN
-    if slack.overdue > WORTHLESS * slack.aim:
+        return DEFAULT_LEVEL
+    if slack.overdue > WORTHLESS * slack.time_limit:
         return LEAST_URGENT
     if slack.left < 0:
         return LATE
--- a/tests/gateway/test_sickness.py
+++ b/tests/gateway/test_sickness.py
@@ -62,7 +62,7 @@
     await asyncio.sleep(0.5)
     view = site.fronts['i2']._view
     now = site.timers.now()
-    case.assertFalse(view.is_doubtful('t1', now))
+    case.assertFalse(view.should_avoid('t1', now))
 
 
 load_tests = fixtures.adapt(__name__, [sites])
--- a/tests/scheduling/test_tallies.py
+++ b/tests/scheduling/test_load_counts.py
@@ -3,9 +3,9 @@
 import heapq
 import random
 
+from vanillayoke.scheduling import load_counts
 from vanillayoke.scheduling import occupancy
-from vanillayoke.scheduling import outlook
-from vanillayoke.scheduling import tallies
+from vanillayoke.scheduling import program_slack
 from vanillayoke.testing import fixtures
 
 INSTANCES, ENGINES, SLOTS = 82, 22, 6
@@ -15,7 +15,7 @@
 
 
 def test_count_follows_beginnings_and_ends(case):
-    tally = tallies.Tallies()
+    tally = load_counts.LoadCounts()
     tally.begin('t', 'a', 3.0, 0.0)
     tally.begin('t', 'b', 3.0, 0.1)
     case.assertEqual(2.0, tally.count('t', 0.2))
@@ -29,7 +29,7 @@
 
     A request counts for as long as its route allows, five seconds here.
     """
-    tally = tallies.Tallies()
+    tally = load_counts.LoadCounts()
     tally.begin('t', 'a', 5.0, 0.0)
     case.assertEqual(1.0, tally.count('t', 4.9))
     case.assertEqual(0.0, tally.count('t', 5.1))
@@ -40,7 +40,7 @@
 
 def test_new_home_learns_from_what_targets_report(case):
     """The former home died with its counts; a target that shed says why."""
-    tally = tallies.Tallies()
+    tally = load_counts.LoadCounts()
     tally.end('t', 'unknown', 25, None, 0.0)
     case.assertEqual(24.0, tally.count('t', 0.0))
     case.assertLess(tally.count('t', 1.0), 1.0)
@@ -48,16 +48,16 @@
 
 def test_slow_target_is_found_and_tried_again_later(case):
     """A server works four times slower for some seconds, then as usual."""
-    tally = tallies.Tallies()
+    tally = load_counts.LoadCounts()
     for step in range(12):
         now = step * 0.05
         tally.end('t', str(step), None, 4.0, now)
-    case.assertGreater(tally.find_load('t', 0.6).slowness, 2.0)
-    case.assertEqual(1.0, tally.find_load('t', 8.0).slowness)
+    case.assertGreater(tally.get_load('t', 0.6).latency_ratio, 2.0)
+    case.assertEqual(1.0, tally.get_load('t', 8.0).latency_ratio)
 
 
 def test_mean_time_is_not_moved_by_a_server_that_hangs(case):
-    mean = outlook.Mean(0.03)
+    mean = program_slack.AverageTime(0.03)
     for step in range(300):
         mean.learn(0.5 if step % 10 == 0 else 0.03)
     case.assertLess(mean.value, 0.045)
@@ -66,12 +66,12 @@
 def test_long_requests_among_usual_ones_are_no_slowness(case):
     """Times of requests differ by themselves, some are five times longer."""
     source = random.Random(1)
-    tally = tallies.Tallies()
+    tally = load_counts.LoadCounts()
     slow = 0
     for step in range(2000):
         now = step * 0.03
         tally.end('t', str(step), None, source.expovariate(1.0), now)
-        slow += tally.find_load('t', now).slowness > 1.0
+        slow += tally.get_load('t', now).latency_ratio > 1.0
     case.assertLess(slow, 2000 * 0.01)
 
 
@@ -81,11 +81,11 @@
     def __init__(self, load, seed):
         self.source = random.Random(seed)
         self.places = [
-            occupancy.Place(f'e{n}', SLOTS, f'z{n % 3}')
+            occupancy.Candidate(f'e{n}', SLOTS, f'z{n % 3}')
             for n in range(ENGINES)
         ]
         self.views = [occupancy.Occupancy() for _ in range(INSTANCES)]
-        self.tally = tallies.Tallies()
+        self.tally = load_counts.LoadCounts()
         self.running = dict.fromkeys((one.name for one in self.places), 0)
         self.near = 0
         self.rate = load * ENGINES * SLOTS / SERVICE
@@ -98,7 +98,7 @@
             while ends and ends[0][0] <= now:
                 self._end(*heapq.heappop(ends))
             owner = self.source.randrange(INSTANCES)
-            wish = occupancy.Wish(None, f'z{owner % 3}')
+            wish = occupancy.PlacementCriteria(None, f'z{owner % 3}')
             name = choose(self, self.views[owner], wish, now).name
             full += self.running[name] >= SLOTS
             self.running[name] += 1
@@ -113,15 +113,15 @@
 
     def _end(self, at, number, name, owner):
         view = self.views[owner]
-        load = occupancy.Report(self.running[name], 0, SLOTS)
-        view.report(name, load, at)
+        load = occupancy.LoadReport(self.running[name], 0, SLOTS)
+        view.record_report(name, load, at)
         view.end(name)
         self.running[name] -= 1
         self.tally.end(name, str(number), None, None, at)
 
 
 def _choose_by_reports(load, view, wish, now):
-    return occupancy.choose_place(
+    return occupancy.choose_by_own_view(
         load.places, view, wish, (), now, load.source.random
     )
 
@@ -132,19 +132,21 @@
         load.places, view, wish, (), now, draw
     )
     loads = _ask(load, near, now)
-    best = occupancy.choose_counted(near, loads, view, wish, now, draw)
-    if best is not None and occupancy.is_light(best, loads, view, wish):
+    best = occupancy.choose_least_loaded(near, loads, view, wish, now, draw)
+    if best is not None and occupancy.is_lightly_loaded(
+        best, loads, view, wish
+    ):
         load.near += 1
         return best
     loads |= _ask(load, far, now)
-    return occupancy.choose_counted(
+    return occupancy.choose_least_loaded(
         [*near, *far], loads, view, wish, now, draw
     )
 
 
 def _ask(load, places, now):
     return {
-        one.name: load.tally.find_load(one.name, now - ROUND_TRIP)
+        one.name: load.tally.get_load(one.name, now - ROUND_TRIP)
         for one in places
     }
 
--- a/tests/scheduling/test_occupancy_slope.py
+++ b/tests/scheduling/test_occupancy_slope.py
@@ -1,7 +1,7 @@
 """Tests of where work goes when engines have far more slots than they like."""
 
+from vanillayoke.scheduling import load_counts
 from vanillayoke.scheduling import occupancy
-from vanillayoke.scheduling import tallies
 from vanillayoke.testing import fixtures
 
 SLOTS = 64
@@ -15,19 +15,19 @@
 
 
 def _choose(view, loads, slope=SLOPE):
-    places = [occupancy.Place('near', SLOTS, 'z1')]
-    places += [occupancy.Place(f'far{n}', SLOTS, 'z2') for n in range(2)]
-    wish = occupancy.Wish(None, 'z1', slope)
+    places = [occupancy.Candidate('near', SLOTS, 'z1')]
+    places += [occupancy.Candidate(f'far{n}', SLOTS, 'z2') for n in range(2)]
+    wish = occupancy.PlacementCriteria(None, 'z1', slope)
     near, far = occupancy.choose_candidates(
         places, view, wish, (), 0.0, lambda: 0.5
     )
-    counted = {name: tallies.Load(count) for name, count in loads.items()}
-    best = occupancy.choose_counted(
+    counted = {name: load_counts.Load(count) for name, count in loads.items()}
+    best = occupancy.choose_least_loaded(
         near, counted, view, wish, 0.0, lambda: 0.5
     )
-    if occupancy.is_light(best, counted, view, wish):
+    if occupancy.is_lightly_loaded(best, counted, view, wish):
         return best.name
-    return occupancy.choose_counted(
+    return occupancy.choose_least_loaded(
         [*near, *far], counted, view, wish, 0.0, lambda: 0.5
     ).name
 
--- a/tests/scheduling/test_outages.py
+++ b/tests/scheduling/test_outages.py
@@ -11,31 +11,31 @@
 DEADLINE, SILENCE, NEEDED = 4.0, 3.0, 0.5
 
 
-def _decide(age, left=DEADLINE, earlier=()):
-    turn = outages.Waiting(left, SILENCE, NEEDED)
+def _decide(age, time_left=DEADLINE, earlier=()):
+    turn = outages.PendingTurn(time_left, SILENCE, NEEDED)
     return outages.decide(outages.Outage(age, earlier), turn)
 
 
 def test_turn_that_may_be_served_waits_as_long_as_it_can(case):
     case.assertEqual(outages.Wait(2.5), _decide(0.1))
     case.assertEqual(outages.Wait(2.5), _decide(7.0))
-    case.assertEqual(outages.Wait(0.5), _decide(1.0, left=1.0))
+    case.assertEqual(outages.Wait(0.5), _decide(1.0, time_left=1.0))
 
 
 def test_turn_that_hardly_can_be_served_is_refused_at_once(case):
     """Its caller is told to use the time it has, not to hurry."""
     match _decide(60.0):
-        case outages.Refuse(pause):
-            case.assertAlmostEqual(DEADLINE * 0.32, pause)
+        case outages.Refuse(retry_after):
+            case.assertAlmostEqual(DEADLINE * 0.32, retry_after)
         case _:
             case.fail('it waits')
 
 
 def test_turn_without_time_to_be_served_is_refused_at_once(case):
     for age in (0.0, 1.0, 60.0):
-        match _decide(age, left=0.4):
-            case outages.Refuse(pause):
-                case.assertLessEqual(pause, outages.SHORTEST_PAUSE)
+        match _decide(age, time_left=0.4):
+            case outages.Refuse(retry_after):
+                case.assertLessEqual(retry_after, outages.MIN_PAUSE_SECONDS)
             case _:
                 case.fail('it waits')
 
@@ -43,7 +43,7 @@
 def test_turn_that_has_run_waits_as_long_as_its_caller(case):
     """Its answer is there: to give it up would be to run it again."""
     for age in (0.1, 5.0, 300.0):
-        wait = outages.decide(outages.Outage(age), outages.Finished(2.2))
+        wait = outages.decide(outages.Outage(age), outages.CompletedTurn(2.2))
         case.assertEqual(outages.Wait(2.2), wait)
 
 
--- a/tests/scheduling/test_prefixes.py
+++ b/tests/scheduling/test_prefixes.py
@@ -3,9 +3,9 @@
 import collections
 import random
 
+from vanillayoke.scheduling import load_counts
 from vanillayoke.scheduling import occupancy
 from vanillayoke.scheduling import prefixes
-from vanillayoke.scheduling import tallies
 from vanillayoke.testing import fixtures
 
 ENGINES = 7
@@ -16,17 +16,19 @@
 
 
 def _make_places(count=ENGINES):
-    return [occupancy.Place(f'm{n}', SLOTS, 'z1') for n in range(count)]
+    return [occupancy.Candidate(f'm{n}', SLOTS, 'z1') for n in range(count)]
 
 
 def _choose(view, places, loads, shared, step, draw):
-    wish = occupancy.Wish(None, 'z1', 0.02, shared, step)
+    wish = occupancy.PlacementCriteria(None, 'z1', 0.02, shared, step)
     near, far = occupancy.choose_candidates(places, view, wish, (), 0.0, draw)
-    counted = {place.name: tallies.Load(loads[place.name]) for place in places}
-    best = occupancy.choose_counted(near, counted, view, wish, 0.0, draw)
-    if occupancy.is_light(best, counted, view, wish):
+    counted = {
+        place.name: load_counts.Load(loads[place.name]) for place in places
+    }
+    best = occupancy.choose_least_loaded(near, counted, view, wish, 0.0, draw)
+    if occupancy.is_lightly_loaded(best, counted, view, wish):
         return best.name
-    return occupancy.choose_counted(
+    return occupancy.choose_least_loaded(
         [*near, *far], counted, view, wish, 0.0, draw
     ).name
 
@@ -36,7 +38,7 @@
     source = random.Random(1)
     view = occupancy.Occupancy()
     places = _make_places()
-    under_way = collections.deque()
+    in_flight = collections.deque()
     loads = collections.Counter()
     holders = collections.defaultdict(collections.Counter)
     most = 0
@@ -45,9 +47,9 @@
         name = _choose(view, places, loads, shared, step, source.random)
         holders[shared][name] += 1
         loads[name] += 1
-        under_way.append(name)
-        if len(under_way) > running:
-            loads[under_way.popleft()] -= 1
+        in_flight.append(name)
+        if len(in_flight) > running:
+            loads[in_flight.popleft()] -= 1
         most = max(most, max(loads.values()))
     # Engines that get more than one in twenty of a prefix's turns.
     counts = [
@@ -63,10 +65,10 @@
     Spread over all engines, the rarer ones are pushed out between two of
     their turns and read again each time.
     """
-    seen = prefixes.Prefixes()
+    seen = prefixes.RecentPrefixes()
     for number in range(PREFIXES):
-        seen.note(prefixes.Shared(f'p{number}', TOKENS), 0.0)
-    step = seen.find_step(MEMORY)
+        seen.record(prefixes.SharedPrefix(f'p{number}', TOKENS), 0.0)
+    step = seen.get_rank_cost(MEMORY)
     spread, _ = _find_holders(0.0, 28)
     held, most = _find_holders(step, 28)
     case.assertGreater(spread, 6)
@@ -83,17 +85,17 @@
 
 
 def test_step_follows_what_was_seen_against_the_memory(case):
-    seen = prefixes.Prefixes()
-    case.assertEqual(0.0, seen.find_step(MEMORY))
+    seen = prefixes.RecentPrefixes()
+    case.assertEqual(0.0, seen.get_rank_cost(MEMORY))
     for number in range(PREFIXES):
-        seen.note(prefixes.Shared(f'p{number}', TOKENS), number / 10)
-    tight = seen.find_step(MEMORY)
-    ample = seen.find_step(100 * MEMORY)
+        seen.record(prefixes.SharedPrefix(f'p{number}', TOKENS), number / 10)
+    tight = seen.get_rank_cost(MEMORY)
+    ample = seen.get_rank_cost(100 * MEMORY)
     case.assertGreater(tight, 0.15)
     case.assertLess(ample, 0.01)
-    case.assertEqual(0.0, seen.find_step(0))
-    seen.note(prefixes.Shared('p0', TOKENS), 60.0)
-    case.assertLess(seen.find_step(MEMORY), tight / 8)
+    case.assertEqual(0.0, seen.get_rank_cost(0))
+    seen.record(prefixes.SharedPrefix('p0', TOKENS), 60.0)
+    case.assertLess(seen.get_rank_cost(MEMORY), tight / 8)
 
 
 def test_order_changes_little_when_an_engine_leaves(case):
@@ -101,8 +103,8 @@
     names = [f'm{number}' for number in range(ENGINES)]
     moved = 0
     for number in range(200):
-        before = prefixes.order(f'p{number}', names)[0]
-        after = prefixes.order(f'p{number}', names[1:])[0]
+        before = prefixes.rank_targets(f'p{number}', names)[0]
+        after = prefixes.rank_targets(f'p{number}', names[1:])[0]
         moved += before != after
         case.assertTrue(before == after or before == 'm0')
     case.assertLess(moved, 200 / ENGINES * 1.5)
@@ -110,9 +112,11 @@
 
 def test_last_part_of_a_prompt_is_its_own(case):
     parts = (('a', 800), ('b', 410), ('c', 250))
-    case.assertEqual(prefixes.Shared('a', 800), prefixes.find_shared(parts))
-    case.assertIsNone(prefixes.find_shared(parts[:1]))
-    case.assertIsNone(prefixes.find_shared(()))
+    case.assertEqual(
+        prefixes.SharedPrefix('a', 800), prefixes.get_shared_prefix(parts)
+    )
+    case.assertIsNone(prefixes.get_shared_prefix(parts[:1]))
+    case.assertIsNone(prefixes.get_shared_prefix(()))
 
 
 def test_long_session_stays_where_its_prompt_is(case):
@@ -124,28 +128,32 @@
     parts = [('shared', TOKENS), ('history', 9000), ('own', 1400)]
     view = occupancy.Occupancy()
     places = _make_places()
-    own = prefixes.find_own(parts, MEMORY, SLOTS)
-    wish = occupancy.Wish('m3', 'z1', 0.05, 'shared', 0.4, own)
-    loads = {place.name: tallies.Load(0.0) for place in places}
-    loads['m3'] = tallies.Load(8.0)
-    best = occupancy.choose_counted(
+    own = prefixes.estimate_affinity_value(parts, MEMORY, SLOTS)
+    wish = occupancy.PlacementCriteria('m3', 'z1', 0.05, 'shared', 0.4, own)
+    loads = {place.name: load_counts.Load(0.0) for place in places}
+    loads['m3'] = load_counts.Load(8.0)
+    best = occupancy.choose_least_loaded(
         places, loads, view, wish, 0.0, lambda: 0.5
     )
     case.assertEqual('m3', best.name)
-    loads['m3'] = tallies.Load(13.0)
-    best = occupancy.choose_counted(
+    loads['m3'] = load_counts.Load(13.0)
+    best = occupancy.choose_least_loaded(
         places, loads, view, wish, 0.0, lambda: 0.5
     )
     case.assertNotEqual('m3', best.name)
 
 
 def test_own_part_is_worth_its_share_of_a_requests_memory(case):
-    case.assertEqual(0.0, prefixes.find_own((), MEMORY, SLOTS))
+    case.assertEqual(0.0, prefixes.estimate_affinity_value((), MEMORY, SLOTS))
     parts = (('shared', TOKENS), ('own', 2350))
-    case.assertAlmostEqual(0.1, prefixes.find_own(parts, MEMORY, SLOTS))
+    case.assertAlmostEqual(
+        0.1, prefixes.estimate_affinity_value(parts, MEMORY, SLOTS)
+    )
     parts = (('shared', TOKENS), ('own', 50_000))
-    case.assertEqual(1.0, prefixes.find_own(parts, MEMORY, SLOTS))
-    case.assertEqual(0.0, prefixes.find_own(parts, 0, SLOTS))
+    case.assertEqual(
+        1.0, prefixes.estimate_affinity_value(parts, MEMORY, SLOTS)
+    )
+    case.assertEqual(0.0, prefixes.estimate_affinity_value(parts, 0, SLOTS))
 
 
 load_tests = fixtures.adapt(__name__)
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -19,7 +19,7 @@
 
 
 def _make(limit, needs=None):
-    account = quotas.Account(WINDOW, needs or quotas.Needs())
+    account = quotas.Account(WINDOW, needs or quotas.ProgramStatistics())
     account.set_limit(_limit(limit), 1)
     return account
 
@@ -55,8 +55,8 @@
         now, admitted = 100.0, []
         for pause, program in sending:
             now += pause
-            asked = quotas.Asked(f'p{program}', 'r')
-            if account.ask('i', asked, now) == quotas.Admitted():
+            asked = quotas.AdmissionRequest(f'p{program}', 'r')
+            if account.request_admission('i', asked, now) == quotas.Admitted():
                 admitted.append(now)
         case.assertLessEqual(_find_most(admitted), limit)
 
@@ -80,8 +80,11 @@
                 account = _make(limit)
                 for at, reporter in reversed(admitted):
                     account.window.add(reporter, at, 1)
-            asked = quotas.Asked(f'p{number % 7}', 'r')
-            if account.ask(f'i{instance}', asked, now) == quotas.Admitted():
+            asked = quotas.AdmissionRequest(f'p{number % 7}', 'r')
+            if (
+                account.request_admission(f'i{instance}', asked, now)
+                == quotas.Admitted()
+            ):
                 admitted.append((now, f'i{instance}'))
         case.assertLessEqual(_find_most([at for at, _ in admitted]), limit)
 
@@ -93,7 +96,7 @@
     before, after = _make(100), _make(100)
     for number in range(30):
         before.window.add(f'i{number % 3}', 10.0 + number * 0.1, 1)
-    after.window.inherit(before.window.list_counts())
+    after.window.restore(before.window.list_counts())
     for number in range(30):
         if number % 3:
             after.window.add(f'i{number % 3}', 10.0 + number * 0.1, 1)
@@ -104,7 +107,7 @@
     account = _make(100)
     account.window.add('i1', 10.0, 5)
     account.window.add('i2', 10.0, 5)
-    account.window.forget('i1')
+    account.window.remove_reporter('i1')
     account.window.add('i1', 10.0, 6)
     case.assertEqual(11, account.window.count(10.0))
 
@@ -112,10 +115,15 @@
 def test_only_programs_that_have_begun_run_over_the_limit(case):
     account = _make(10)
     account.set_limit(_limit(10, overrun=3), 1)
-    begun, new = quotas.Asked('p', 'r'), quotas.Asked('q', 'r')
-    found = [account.ask('i', begun, 10.0) for _ in range(14)]
+    begun, new = (
+        quotas.AdmissionRequest('p', 'r'),
+        quotas.AdmissionRequest('q', 'r'),
+    )
+    found = [account.request_admission('i', begun, 10.0) for _ in range(14)]
     case.assertEqual(13, found.count(quotas.Admitted()))
-    case.assertIsInstance(account.ask('i', new, 10.0), quotas.Refused)
+    case.assertIsInstance(
+        account.request_admission('i', new, 10.0), quotas.Refused
+    )
 
 
 def test_overrun_and_what_is_lost_stay_within_what_is_tolerated(case):
@@ -128,11 +136,17 @@
 def test_pause_ends_when_there_is_room(case):
     account = _make(10)
     for number in range(10):
-        account.ask('i', quotas.Asked('p', 'r'), 10.0 + number * 0.2)
-    found = account.ask('i', quotas.Asked('p', 'r'), 12.0)
+        account.request_admission(
+            'i', quotas.AdmissionRequest('p', 'r'), 10.0 + number * 0.2
+        )
+    found = account.request_admission(
+        'i', quotas.AdmissionRequest('p', 'r'), 12.0
+    )
     case.assertEqual(10, found.used)
-    later = 12.0 + found.pause
-    admitted = account.ask('i', quotas.Asked('p', 'r'), later + SLICE)
+    later = 12.0 + found.retry_after
+    admitted = account.request_admission(
+        'i', quotas.AdmissionRequest('p', 'r'), later + SLICE
+    )
     case.assertEqual(quotas.Admitted(), admitted)
 
 
@@ -146,10 +160,10 @@
 def test_what_is_lost_without_a_trace_leaves_the_tolerance(case):
     """All instances were killed while the store is away."""
     limit = _limit(200, 40)
-    reserve = quotas.find_reserve(limit, 1.0, False)
+    reserve = quotas.get_reserve(limit, 1.0, False)
     case.assertEqual(limit.tolerance, limit.requests - reserve)
-    case.assertEqual(0.0, quotas.find_reserve(limit, 1.0, True))
-    case.assertEqual(0.0, quotas.find_reserve(limit, 0.2, False))
+    case.assertEqual(0.0, quotas.get_reserve(limit, 1.0, True))
+    case.assertEqual(0.0, quotas.get_reserve(limit, 0.2, False))
 
 
 # A hot organisation: programs of some 12 requests, one every 0.15 s or so,
@@ -179,7 +193,9 @@
             is_admitted = account.window.count(now) < HOT_LIMIT
             account.window.add('i', now, int(is_admitted))
         else:
-            found = account.ask('i', quotas.Asked(program, 'r'), now)
+            found = account.request_admission(
+                'i', quotas.AdmissionRequest(program, 'r'), now
+            )
             is_admitted = found == quotas.Admitted()
         if not is_admitted:
             continue
@@ -208,11 +224,13 @@
     now, looped = 100.0, 0
     while now < 130.0:
         now += 0.02
-        found = account.ask('i', quotas.Asked('loop', 'r'), now)
+        found = account.request_admission(
+            'i', quotas.AdmissionRequest('loop', 'r'), now
+        )
         looped += found == quotas.Admitted()
         for number in range(2):
-            asked = quotas.Asked(f'p{int(now)}-{number}', 'r')
-            account.ask('i', asked, now)
+            asked = quotas.AdmissionRequest(f'p{int(now)}-{number}', 'r')
+            account.request_admission('i', asked, now)
     case.assertLess(looped, 0.5 * HOT_LIMIT * 30.0 / WINDOW)
 
 
--- a/tests/scheduling/test_retries.py
+++ b/tests/scheduling/test_retries.py
@@ -19,7 +19,7 @@
     """
     retried = 0
     for _ in range(1000):
-        budget.note_call()
+        budget.record_call()
         retried += sum(budget.take() for _ in range(3))
     case.assertLessEqual(retried, 120)
     case.assertGreaterEqual(retried, 100)
