--- a/libs/gateway/vanillayoke/gateway/calls.py
+++ b/libs/gateway/vanillayoke/gateway/calls.py
@@ -135,7 +135,7 @@
                 refusals.Reason.OUTCOME_UNKNOWN, refusal.detail
             )
         if refusal.reason is refusals.Reason.ISOLATED:
-            responder.close_after()
+            responder.close_connection_after()
         if responder.is_started:
             # Part of an answer is out: breaking the connection off is the
             # only way to say that it is not whole.
--- a/libs/gateway/vanillayoke/gateway/front.py
+++ b/libs/gateway/vanillayoke/gateway/front.py
@@ -151,7 +151,7 @@
         settled = began + SETTLING
         while self._timers.now() < end:
             is_settled = self._timers.now() >= settled
-            if is_settled and not self._front_server.active:
+            if is_settled and not self._front_server.active_connections:
                 break
             await self._timers.sleep(0.05)
         for http_server, _ in self._listen:
--- a/libs/transport/vanillayoke/transport/__init__.py
+++ b/libs/transport/vanillayoke/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 connections on both sides, and datagrams."""
+"""HTTP/1.1 client and server, and UDP sockets."""
--- a/libs/transport/vanillayoke/transport/client.py
+++ b/libs/transport/vanillayoke/transport/client.py
@@ -1,8 +1,7 @@
-"""HTTP/1.1 towards targets, the store and peers.
+"""HTTP/1.1 client for targets, the store and other instances.
 
-What callers of this module have to know of a failure is whether the request
-may have run: ``NotSent`` says that no byte of it has left, every other error
-leaves that open.
+The exceptions tell whether the request may have run: ``NotSent`` means that
+no byte of it was sent; after any other error it may have been processed.
 """
 
 import asyncio
@@ -13,50 +12,49 @@
 
 from vanillayoke.transport import headers as headers_module
 
-# An idle connection without a stated lifetime is used again for so long.
-# Servers close idle ones after seconds; a request that crosses the close of
-# its connection is lost, and one that must not run twice with it.
-DEFAULT_IDLE = 2.0
-# The stated lifetime runs from the server's last byte, ours from when we
-# read it; the last second of it is not used.
-IDLE_MARGIN = 1.0
-# What must not be sent twice goes over connections that rested for no more
-# than this share of the time that the server stated: it is the server's word,
-# and far from its end no close can cross the request.
-STATED_SHARE = 0.5
-# Sent bytes that the other end does not acknowledge for so long end the
-# connection: cables that were cut answer nothing. Milliseconds.
-UNACKNOWLEDGED_MS = 2000
+# Used for servers that send no Keep-Alive timeout. A request sent while the
+# server closes its idle connection is lost.
+DEFAULT_KEEP_ALIVE_SECONDS = 2.0
+# Subtracted from the server's Keep-Alive timeout, which starts earlier than
+# the client's: when the server sends its last byte.
+KEEP_ALIVE_MARGIN_SECONDS = 1.0
+# Requests that must not run twice may use a connection that has been idle for
+# up to this part of the server's Keep-Alive timeout.
+UNSAFE_KEEP_ALIVE_RATIO = 0.5
+TCP_USER_TIMEOUT_MS = 2000
 
 
 class TransportError(Exception):
-    """A request was not answered whole."""
+    """A request did not receive a complete response."""
 
 
 class NotSent(TransportError):
-    """No byte of the request has left: it has not run."""
+    """No byte of the request was sent, so it has not run."""
 
 
 class ConnectionLost(TransportError):
-    """The connection broke behind the request; it may have run."""
+    """The connection closed after the request was sent; it may have run."""
 
 
 class BadAnswer(TransportError):
-    """What came is not an answer; the request may have run."""
+    """The response is invalid; the request may have run."""
 
 
 class TimedOut(TransportError):
-    """No progress within the time allowed; the request may have run."""
+    """The request timed out; it may have run."""
 
 
 class Head(typing.NamedTuple):
-    """Status and fields of an answer."""
+    """Status and header fields of a response."""
 
     status: int
     headers: headers_module.Headers
 
     def find(self, name: bytes) -> bytes | None:
-        """Return the first value of a field; ``name`` in lower case."""
+        """Return the first value of a header field.
+
+        ``name`` is in lower case.
+        """
         return headers_module.find_header(self.headers, name)
 
 
@@ -64,11 +62,11 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection with at most one request under way.
+    """A connection with at most one request in progress.
 
-    An answer that the acceptor declines is skipped: a faulty server may send
-    a second answer to an earlier request, which arrives where the answer to
-    this one is expected. The connection is not used again then.
+    Responses that ``accept`` rejects are skipped: a faulty server may send a
+    second response to an earlier request. The connection is not reused
+    afterwards.
     """
 
     def __init__(self) -> None:
@@ -77,9 +75,9 @@
         self._wakeup = asyncio.Event()
         self.is_closed = False
         self.is_clean = True
-        self.idle_until = 0.0
-        self.rested_at = 0.0
-        self.server_idle: float | None = None
+        self.idle_deadline = 0.0
+        self.idle_since = 0.0
+        self.keep_alive_seconds: float | None = None
         self._is_busy = False
         self._accept: Acceptor | None = None
         self.head: Head | None = None
@@ -89,7 +87,7 @@
         self._transport = transport
         sock = transport.get_extra_info('socket')
         if sock is not None:
-            _tune(sock)
+            _set_socket_options(sock)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.is_closed = True
@@ -98,8 +96,9 @@
     def eof_received(self) -> bool:
         is_open = self._is_busy and not self._is_complete
         if is_open and self.head is not None and not self._has_length:
-            # An answer without a length ends with its connection. A reset
-            # does not come here, so what was reset never looks complete.
+            # A response without a length is delimited by the end of the
+            # connection. A reset does not call eof_received, so a response
+            # that was reset is never taken as complete.
             self._is_complete = not self._is_chunked
         self.is_closed = True
         self._wakeup.set()
@@ -107,7 +106,7 @@
 
     def data_received(self, data: bytes) -> None:
         if not self._is_busy or self._is_complete:
-            # Bytes that nobody asked for belong to no request.
+            # These bytes belong to no request.
             self.abort()
             return
         try:
@@ -145,7 +144,7 @@
         self._has_length = head.find(b'content-length') is not None
         if not self._parser.should_keep_alive():
             self.is_clean = False
-        self._note_lifetime(head)
+        self._read_keep_alive(head)
 
     def on_body(self, body: bytes) -> None:
         if not self._is_skipping and not self._is_complete:
@@ -157,7 +156,7 @@
         elif self.head is not None:
             self._is_complete = True
 
-    # Called by users
+    # Public interface
 
     def send(
         self,
@@ -167,7 +166,7 @@
         body: bytes,
         accept: Acceptor | None = None,
     ) -> None:
-        """Send a request; raise ``NotSent`` if the connection is gone."""
+        """Send a request; raise ``NotSent`` if the connection is closed."""
         if self.is_closed or self._transport.is_closing():
             raise NotSent('the connection is closed')
         self._reset()
@@ -183,18 +182,18 @@
         self._transport.write(b''.join(lines))
 
     async def read_head(self) -> Head:
-        """Return the head of the answer."""
+        """Return the status and header of the response."""
         while self.head is None:
-            self._raise_if_over()
+            self._raise_if_failed()
             await self._wait()
         return self.head
 
     async def read_chunk(self) -> bytes:
-        """Return what came of the body, b'' at its end."""
+        """Return the body bytes received so far, b'' at the end."""
         while not self._chunks:
             if self._is_complete:
                 return b''
-            self._raise_if_over()
+            self._raise_if_failed()
             await self._wait()
         data = b''.join(self._chunks)
         self._chunks.clear()
@@ -202,28 +201,28 @@
 
     async def read_body(self) -> bytes:
         """Return the whole body."""
-        parts = []
+        chunks = []
         while data := await self.read_chunk():
-            parts.append(data)
-        return b''.join(parts)
+            chunks.append(data)
+        return b''.join(chunks)
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another request may go over this connection."""
+        """Whether another request may be sent on this connection."""
         return self._is_complete and self.is_clean and not self.is_closed
 
-    def rest(self) -> None:
-        """Mark the connection idle: bytes that come now close it."""
+    def mark_idle(self) -> None:
+        """Mark the connection idle; data received while idle closes it."""
         self._is_busy = False
 
     def abort(self) -> None:
-        """Drop the connection at once, with what is under way on it."""
+        """Close the connection at once, without finishing its request."""
         self.is_closed = True
         self.is_clean = False
         if self._transport is not None:
             self._transport.abort()
 
-    # Inside
+    # Internals
 
     def _reset(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
@@ -236,30 +235,32 @@
         self._is_chunked = False
         self._has_length = False
 
-    def _raise_if_over(self) -> None:
+    def _raise_if_failed(self) -> None:
         if self._is_bad:
-            raise BadAnswer('what came is not an answer')
+            raise BadAnswer('the response is not valid HTTP')
         if self.is_closed:
-            raise ConnectionLost('the connection broke before the end')
+            raise ConnectionLost('connection closed before the response ended')
 
     async def _wait(self) -> None:
         self._wakeup.clear()
         await self._wakeup.wait()
 
-    def _note_lifetime(self, head: Head) -> None:
-        stated = head.find(b'keep-alive')
-        if stated is None:
+    def _read_keep_alive(self, head: Head) -> None:
+        field = head.find(b'keep-alive')
+        if field is None:
             return
-        for part in stated.split(b','):
-            name, _, value = part.strip().partition(b'=')
+        for parameter in field.split(b','):
+            name, _, value = parameter.strip().partition(b'=')
             if name.lower() == b'timeout' and value.strip().isdigit():
-                self.server_idle = max(0.0, float(value) - IDLE_MARGIN)
+                self.keep_alive_seconds = max(
+                    0.0, float(value) - KEEP_ALIVE_MARGIN_SECONDS
+                )
 
 
 class Pool:
-    """Connections to addresses, used again while they are clean and young.
+    """Connection pool, by address.
 
-    ``on_opened`` is called with each new connection's address.
+    ``on_opened`` is called with the address of each new connection.
     """
 
     def __init__(
@@ -271,19 +272,20 @@
         self._on_opened = on_opened
         self._idle: dict[str, list[Connection]] = {}
 
-    async def acquire(self, address: str, idle: float | None = None):
+    async def acquire(self, address: str, max_idle: float | None = None):
         """Return a connection to ``IP:PORT``; raise ``NotSent`` if none.
 
-        ``idle`` bounds, in seconds, how long a kept one may have rested; one
-        whose server stated how long it keeps it may have rested longer.
+        A pooled connection is used only if it has been idle for at most
+        ``max_idle`` seconds, or longer where the server's Keep-Alive timeout
+        allows it.
         """
-        kept = self._take_kept(address, idle)
-        if kept is not None:
-            return kept
+        pooled = self._pop_idle(address, max_idle)
+        if pooled is not None:
+            return pooled
         return await self.open(address)
 
     async def open(self, address: str) -> Connection:
-        """Return a new connection; raise ``NotSent`` if there is none."""
+        """Open a connection to ``IP:PORT``; raise ``NotSent`` on failure."""
         host, _, port = address.rpartition(':')
         loop = asyncio.get_running_loop()
         self._on_opened(address)
@@ -293,70 +295,72 @@
                     Connection, host, int(port)
                 )
         except TimeoutError:
-            raise NotSent(f'no connection to {address} in time') from None
+            raise NotSent(f'connecting to {address} timed out') from None
         except (OSError, ValueError) as error:
-            raise NotSent(f'no connection to {address}: {error}') from error
+            raise NotSent(f'cannot connect to {address}: {error}') from error
         return connection
 
     def release(self, address: str, connection: Connection) -> None:
-        """Keep a connection for the next request, or drop it."""
+        """Return a connection to the pool, or close it if not reusable."""
         if not connection.is_reusable:
             connection.abort()
             return
-        connection.rest()
-        idle = connection.server_idle
+        connection.mark_idle()
+        lifetime = connection.keep_alive_seconds
         now = asyncio.get_running_loop().time()
-        connection.rested_at = now
-        connection.idle_until = now + (DEFAULT_IDLE if idle is None else idle)
+        connection.idle_since = now
+        connection.idle_deadline = now + (
+            DEFAULT_KEEP_ALIVE_SECONDS if lifetime is None else lifetime
+        )
         self._idle.setdefault(address, []).append(connection)
 
-    def _take_kept(
-        self, address: str, idle: float | None
+    def _pop_idle(
+        self, address: str, max_idle: float | None
     ) -> Connection | None:
         now = asyncio.get_running_loop().time()
-        kept = self._idle.get(address, [])
-        while kept:
-            connection = kept.pop()
-            if connection.is_closed or now >= connection.idle_until:
+        pooled = self._idle.get(address, [])
+        while pooled:
+            connection = pooled.pop()
+            if connection.is_closed or now >= connection.idle_deadline:
                 connection.abort()
                 continue
-            if idle is not None:
-                stated = connection.server_idle or 0.0
-                longest = max(idle, STATED_SHARE * stated)
-                if now - connection.rested_at > longest:
+            if max_idle is not None:
+                keep_alive = connection.keep_alive_seconds or 0.0
+                allowed = max(max_idle, UNSAFE_KEEP_ALIVE_RATIO * keep_alive)
+                if now - connection.idle_since > allowed:
                     connection.abort()
                     continue
             return connection
         return None
 
     def prune(self) -> None:
-        """Drop the idle connections whose time is over."""
+        """Close idle connections that have expired."""
         now = asyncio.get_running_loop().time()
-        for address, kept in list(self._idle.items()):
-            for connection in kept:
-                if connection.is_closed or now >= connection.idle_until:
+        for address, pooled in list(self._idle.items()):
+            for connection in pooled:
+                if connection.is_closed or now >= connection.idle_deadline:
                     connection.abort()
-            left = [one for one in kept if not one.is_closed]
-            if left:
-                self._idle[address] = left
+            usable = [one for one in pooled if not one.is_closed]
+            if usable:
+                self._idle[address] = usable
             else:
                 del self._idle[address]
 
     def drop(self, address: str) -> None:
-        """Drop the idle connections to an address."""
+        """Close the idle connections to an address."""
         for connection in self._idle.pop(address, ()):
             connection.abort()
 
     def close(self) -> None:
-        """Drop all idle connections."""
-        for kept in self._idle.values():
-            for connection in kept:
+        """Close all idle connections."""
+        for pooled in self._idle.values():
+            for connection in pooled:
                 connection.abort()
         self._idle.clear()
 
 
-def _tune(sock: socket.socket) -> None:
+def _set_socket_options(sock: socket.socket) -> None:
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     option = getattr(socket, 'TCP_USER_TIMEOUT', None)
     if option is not None:
-        sock.setsockopt(socket.IPPROTO_TCP, option, UNACKNOWLEDGED_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, option, TCP_USER_TIMEOUT_MS)
--- a/libs/transport/vanillayoke/transport/datagrams.py
+++ b/libs/transport/vanillayoke/transport/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between instances: small, unordered, sometimes lost."""
+"""UDP sockets for messages between instances."""
 
 import asyncio
 import typing
@@ -7,7 +7,10 @@
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """One UDP socket; the receiver gets data and the sender's address."""
+    """A UDP socket.
+
+    ``receive`` is called with the data and the sender's ``IP:PORT``.
+    """
 
     def __init__(self, receive: Receiver) -> None:
         self._receive = receive
@@ -17,7 +20,7 @@
     async def bind(
         cls, host: str, port: int, receive: Receiver
     ) -> typing.Self:
-        """Open the socket."""
+        """Open a socket bound to an address."""
         loop = asyncio.get_running_loop()
         _, protocol = await loop.create_datagram_endpoint(
             lambda: cls(receive), local_addr=(host, port)
@@ -31,11 +34,11 @@
         self._receive(data, f'{sender[0]}:{sender[1]}')
 
     def error_received(self, error: Exception) -> None:
-        # A port without a listener; the sender's own timeout tells.
+        # Nothing listens at the destination; the sender's timeout covers it.
         pass
 
     def send(self, address: str, data: bytes) -> None:
-        """Send one datagram to ``IP:PORT``; nothing says whether it came."""
+        """Send a datagram to ``IP:PORT``, without confirming delivery."""
         host, _, port = address.rpartition(':')
         if self._transport is not None and port.isdigit():
             self._transport.sendto(data, (host, int(port)))
--- a/libs/transport/vanillayoke/transport/headers.py
+++ b/libs/transport/vanillayoke/transport/headers.py
@@ -1,10 +1,10 @@
-"""Header fields as lists of name and value, in the order they came."""
+"""HTTP header fields, as lists of name and value in order of receipt."""
 
 import typing
 
 Headers = list[tuple[bytes, bytes]]
 
-# Fields that concern one connection only (RFC 9110, 7.6.1).
+# RFC 9110, section 7.6.1.
 HOP_BY_HOP = frozenset(
     (
         b'connection',
@@ -22,7 +22,10 @@
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a field; ``name`` in lower case."""
+    """Return the first value of a field.
+
+    ``name`` is in lower case.
+    """
     for field, value in headers:
         if field.lower() == name:
             return value
@@ -44,13 +47,13 @@
 ) -> Headers:
     """Return the fields that may be forwarded.
 
-    ``dropped`` names, in lower case, further fields that stay behind.
+    ``dropped`` lists the names, in lower case, of other fields to remove.
     """
-    named = list_connection_tokens(headers)
-    kept = []
+    connection_tokens = list_connection_tokens(headers)
+    forwarded = []
     for field, value in headers:
         name = field.lower()
-        if name in HOP_BY_HOP or name in named or name in dropped:
+        if name in HOP_BY_HOP or name in connection_tokens or name in dropped:
             continue
-        kept.append((field, value))
-    return kept
+        forwarded.append((field, value))
+    return forwarded
--- a/libs/transport/vanillayoke/transport/server.py
+++ b/libs/transport/vanillayoke/transport/server.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 for callers: whole requests in, streamed answers out.
+"""HTTP/1.1 server: complete requests in, streamed responses out.
 
-A handler gets one whole request and a responder, and runs as a task that is
-cancelled as soon as its client has gone. Requests that come behind one
-another on a connection are handled one by one.
+The handler is called with a complete request and a responder. It runs as a
+task that is cancelled when the client disconnects. Pipelined requests are
+handled one at a time.
 """
 
 import asyncio
@@ -14,56 +14,60 @@
 
 from vanillayoke.transport import headers as headers_module
 
-# Bytes of answers that wait for a slow reader before the writer waits too.
-WRITE_BUFFER = 256 * 1024
-# Requests that may wait on a connection behind the one being handled.
-LONGEST_PIPELINE = 16
-# How long a refused client may go on sending before its connection closes:
-# closing over unread bytes would reset the answer away.
+WRITE_BUFFER_BYTES = 256 * 1024
+MAX_PIPELINED_REQUESTS = 16
+# Closing a socket with unread data resets it, and the client could lose the
+# response. So the connection stays open for this time after the last one.
 LINGER_SECONDS = 0.5
 
 
 class Request(typing.NamedTuple):
-    """One whole request."""
+    """A complete request.
+
+    ``closes_connection`` is set if the client asked to close the connection
+    after the response.
+    """
 
     method: bytes
     target: bytes
     headers: headers_module.Headers
     body: bytes
-    is_last: bool
+    closes_connection: bool
 
 
 class Limits(typing.NamedTuple):
-    """What a client may send, in bytes, and how long it may take.
+    """Limits on request sizes, in bytes, and on times, in seconds.
 
-    Times are in seconds; ``idle`` bounds the pause between two requests.
+    ``idle_timeout`` bounds the time between two requests.
     """
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
-    header_time: float = 3.0
-    idle: float = 15.0
+    header_timeout: float = 3.0
+    idle_timeout: float = 15.0
 
 
 class Responder:
-    """Answers one request; each answer is sent once."""
+    """Sends the response to one request."""
 
-    def __init__(self, connection: '_Connection', is_last: bool) -> None:
+    def __init__(
+        self, connection: '_Connection', closes_connection: bool
+    ) -> None:
         self._connection = connection
         self._is_chunked = False
-        self._is_last = is_last
-        self._left: int | None = None
+        self._closes_connection = closes_connection
+        self._unsent: int | None = None
         self.is_started = False
         self.is_finished = False
 
-    def close_after(self) -> None:
-        """End the connection behind this answer."""
-        self._is_last = True
+    def close_connection_after(self) -> None:
+        """Close the connection after this response."""
+        self._closes_connection = True
 
     def send(
         self, status: int, headers: headers_module.Headers, body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         self.start(status, headers, len(body))
         self.write(body)
         self.finish()
@@ -74,10 +78,13 @@
         headers: headers_module.Headers,
         length: int | None,
     ) -> None:
-        """Send the head; a body of unknown length goes in chunks."""
+        """Send the status and header.
+
+        The body is sent chunked if ``length`` is ``None``.
+        """
         self.is_started = True
         if self._connection.is_draining:
-            self._is_last = True
+            self._closes_connection = True
         lines = [b'HTTP/1.1 %d %s\r\n' % (status, _get_phrase(status))]
         for name, value in headers:
             lines.append(b'%s: %s\r\n' % (name, value))
@@ -86,40 +93,43 @@
             lines.append(b'Transfer-Encoding: chunked\r\n')
         else:
             lines.append(b'Content-Length: %d\r\n' % length)
-            self._left = length
-        if self._is_last:
+            self._unsent = length
+        if self._closes_connection:
             lines.append(b'Connection: close\r\n')
         lines.append(b'\r\n')
         self._connection.write(b''.join(lines))
 
     def write(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send some bytes of the body."""
         if not data:
             return
         if self._is_chunked:
             self._connection.write(b'%x\r\n%b\r\n' % (len(data), data))
             return
-        self._left -= len(data)
+        self._unsent -= len(data)
         self._connection.write(data)
 
     async def drain(self) -> None:
-        """Wait until a slow reader has taken what it was sent."""
+        """Wait until the write buffer has room."""
         await self._connection.drain()
 
     def finish(self) -> None:
-        """End the answer; one shorter than announced is broken off."""
+        """End the response.
+
+        Aborts the connection if the body is shorter than announced.
+        """
         if self.is_finished:
             return
         self.is_finished = True
         if self._is_chunked:
             self._connection.write(b'0\r\n\r\n')
-        elif self._left:
+        elif self._unsent:
             self._connection.abort()
             return
-        self._connection.end_answer(self._is_last)
+        self._connection.end_response(self._closes_connection)
 
     def abort(self) -> None:
-        """Break the answer off, so that it cannot look complete."""
+        """Abort the connection, so that the client sees a truncated body."""
         self.is_finished = True
         self._connection.abort()
 
@@ -140,16 +150,16 @@
         self._timer: asyncio.TimerHandle | None = None
         self._can_write = asyncio.Event()
         self._can_write.set()
-        self._is_refused = False
+        self._is_closing = False
         self._reset_message()
 
     # Called by the event loop
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self._transport = transport
-        transport.set_write_buffer_limits(high=WRITE_BUFFER)
+        transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         self._server.connections.add(self)
-        self._set_timer(self._server.limits.idle)
+        self._set_timer(self._server.limits.idle_timeout)
 
     def connection_lost(self, error: Exception | None) -> None:
         self._server.connections.discard(self)
@@ -169,7 +179,7 @@
         self._can_write.set()
 
     def data_received(self, data: bytes) -> None:
-        if self._is_refused:
+        if self._is_closing:
             return
         try:
             self._parser.feed_data(data)
@@ -184,22 +194,22 @@
         self._reset_message()
         self._is_reading = True
         if self._task is None:
-            self._set_timer(self._server.limits.header_time)
+            self._set_timer(self._server.limits.header_timeout)
 
     def on_url(self, url: bytes) -> None:
         self._target += url
-        self._count_header(len(url))
+        self._add_header_size(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if not self._has_head:
             self._headers.append((name, value))
-        self._count_header(len(name) + len(value) + 4)
+        self._add_header_size(len(name) + len(value) + 4)
 
     def on_headers_complete(self) -> None:
-        # Fields that follow are trailers. They come behind the body and must
-        # not stand in for a header field (RFC 9110, 6.5.1): they are dropped.
+        # Later fields are trailers. They must not be merged into the header
+        # (RFC 9110, section 6.5.1) and are dropped.
         self._has_head = True
-        if self._is_refused:
+        if self._is_closing:
             return
         expect = headers_module.find_header(self._headers, b'expect')
         length = headers_module.find_header(self._headers, b'content-length')
@@ -208,7 +218,7 @@
         elif expect and expect.lower() == b'100-continue':
             self.write(b'HTTP/1.1 100 Continue\r\n\r\n')
         if self._task is None:
-            self._set_timer(self._server.limits.idle)
+            self._set_timer(self._server.limits.idle_timeout)
 
     def on_body(self, body: bytes) -> None:
         self._body += body
@@ -216,7 +226,7 @@
             self._refuse(http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_message_complete(self) -> None:
-        if self._is_refused:
+        if self._is_closing:
             return
         self._is_reading = False
         request = Request(
@@ -226,7 +236,7 @@
             bytes(self._body),
             not self._parser.should_keep_alive(),
         )
-        if len(self._queue) >= LONGEST_PIPELINE:
+        if len(self._queue) >= MAX_PIPELINED_REQUESTS:
             self._refuse(http.HTTPStatus.BAD_REQUEST)
             return
         self._queue.append(request)
@@ -250,10 +260,10 @@
     async def drain(self) -> None:
         await self._can_write.wait()
 
-    def end_answer(self, is_last: bool) -> None:
-        if is_last:
+    def end_response(self, closes_connection: bool) -> None:
+        if closes_connection:
             self._queue.clear()
-            self._is_refused = True
+            self._is_closing = True
             self._linger()
 
     def abort(self) -> None:
@@ -264,7 +274,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    # Inside
+    # Internals
 
     def _reset_message(self) -> None:
         self._target = bytearray()
@@ -274,25 +284,23 @@
         self._body = bytearray()
         self._is_reading = False
 
-    def _count_header(self, size: int) -> None:
+    def _add_header_size(self, size: int) -> None:
         self._header_size += size
         if self._header_size > self._server.limits.header_bytes:
             self._refuse(http.HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def _refuse(self, status: http.HTTPStatus) -> None:
-        if self._is_refused:
+        if self._is_closing:
             return
-        self._is_refused = True
+        self._is_closing = True
         self._server.on_refused(status)
-        # The answers to requests before this one have to come first.
+        # Responses must be sent in the order of the requests.
         if self._task is None:
-            self._send_refusal(status)
+            self._send_error(status)
         else:
-            self._task.add_done_callback(
-                lambda task: self._send_refusal(status)
-            )
+            self._task.add_done_callback(lambda task: self._send_error(status))
 
-    def _send_refusal(self, status: http.HTTPStatus) -> None:
+    def _send_error(self, status: http.HTTPStatus) -> None:
         self.write(
             b'HTTP/1.1 %d %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n'
             % (status, _get_phrase(status))
@@ -311,13 +319,13 @@
     def _begin_next(self) -> None:
         self._cancel_timer()
         request = self._queue.popleft()
-        responder = Responder(self, request.is_last)
+        responder = Responder(self, request.closes_connection)
         self._task = self._loop.create_task(
             self._server.handle(request, responder)
         )
-        self._task.add_done_callback(self._end_task)
+        self._task.add_done_callback(self._on_task_done)
 
-    def _end_task(self, task: asyncio.Task) -> None:
+    def _on_task_done(self, task: asyncio.Task) -> None:
         self._task = None
         if not task.cancelled() and task.exception() is not None:
             self._server.on_failure(task.exception())
@@ -327,8 +335,8 @@
             return
         if self._queue:
             self._begin_next()
-        elif not self._is_refused:
-            self._set_timer(self._server.limits.idle)
+        elif not self._is_closing:
+            self._set_timer(self._server.limits.idle_timeout)
 
     def _set_timer(self, delay: float) -> None:
         self._cancel_timer()
@@ -347,7 +355,11 @@
 
 
 class HttpServer:
-    """Listens at addresses and hands whole requests to a handler."""
+    """Listens on addresses and passes requests to a handler.
+
+    ``on_failure`` is called with exceptions that a handler raises,
+    ``on_refused`` with the status of each invalid or timed-out request.
+    """
 
     def __init__(
         self,
@@ -364,7 +376,7 @@
         self._servers: list[asyncio.Server] = []
 
     async def listen(self, host: str, port: int) -> None:
-        """Accept connections at an address."""
+        """Accept connections on an address."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
             lambda: _Connection(self), host, port, backlog=1024
@@ -372,16 +384,16 @@
         self._servers.append(server)
 
     @property
-    def active(self) -> int:
-        """How many connections have a request under way."""
+    def active_connections(self) -> int:
+        """The number of connections with a request in progress."""
         return sum(not one.is_idle for one in self.connections)
 
     def drain(self) -> None:
-        """Make each answer the last one of its connection."""
+        """Close each connection after its next response."""
         self.is_draining = True
 
     def close(self) -> None:
-        """Stop listening and close the connections that are idle."""
+        """Stop listening and close idle connections."""
         for server in self._servers:
             server.close()
         for connection in list(self.connections):
--- a/tests/transport/test_client.py
+++ b/tests/transport/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of connections to targets: whose bytes are whose."""
+"""Tests of the HTTP client and its connection pool."""
 
 import asyncio
 
@@ -11,7 +11,10 @@
 
 
 class _Server(asyncio.Protocol):
-    """Plays a list of byte strings, one for each request that comes."""
+    """Sends the next byte string of a script for each request received.
+
+    ``None`` in the script aborts the connection.
+    """
 
     def __init__(self, script):
         self._script = script
@@ -20,11 +23,11 @@
         self.transport = transport
 
     def data_received(self, data):
-        answer = self._script.pop(0) if self._script else b''
-        if answer is None:
+        response = self._script.pop(0) if self._script else b''
+        if response is None:
             self.transport.abort()
         else:
-            self.transport.write(answer)
+            self.transport.write(response)
 
 
 @fixtures.fixture
@@ -33,18 +36,18 @@
 
 
 def _serve(network, *script):
-    played = list(script)
+    remaining = list(script)
     servers = []
 
     def make():
-        servers.append(_Server(played))
+        servers.append(_Server(remaining))
         return servers[-1]
 
     network.listeners[HOST, PORT] = make
     return servers
 
 
-async def _ask(pool, accept=None):
+async def _request(pool, accept=None):
     connection = await pool.acquire(ADDRESS)
     try:
         connection.send(b'GET', b'/', [], b'', accept)
@@ -58,48 +61,48 @@
 OK = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
 
 
-async def test_connection_is_used_again(case, network):
+async def test_connection_is_reused(case, network):
     _serve(network, OK, OK)
     pool = client.Pool(1.0)
-    case.assertEqual((200, b'ok'), await _ask(pool))
-    case.assertEqual((200, b'ok'), await _ask(pool))
+    case.assertEqual((200, b'ok'), await _request(pool))
+    case.assertEqual((200, b'ok'), await _request(pool))
     case.assertEqual(1, network.opened[HOST, PORT])
 
 
-async def test_connection_with_unasked_bytes_is_dropped(case, network):
-    """A faulty server sends more after a whole answer.
+async def test_connection_with_unsolicited_bytes_is_closed(case, network):
+    """A faulty server sends more bytes after a complete response.
 
-    The bytes would be taken for the answer to the next request.
+    They must not be taken for the response to the next request.
     """
     servers = _serve(network, OK, OK)
     pool = client.Pool(1.0)
-    await _ask(pool)
+    await _request(pool)
     servers[0].transport.write(
         b'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad'
     )
     await asyncio.sleep(0.1)
-    case.assertEqual((200, b'ok'), await _ask(pool))
+    case.assertEqual((200, b'ok'), await _request(pool))
     case.assertEqual(2, network.opened[HOST, PORT])
 
 
-async def test_second_answer_in_one_packet_is_dropped(case, network):
+async def test_second_response_in_one_packet_is_dropped(case, network):
     _serve(network, OK + OK, OK)
     pool = client.Pool(1.0)
-    await _ask(pool)
-    await _ask(pool)
+    await _request(pool)
+    await _request(pool)
     case.assertEqual(2, network.opened[HOST, PORT])
 
 
-async def test_declined_answer_is_skipped(case, network):
+async def test_rejected_response_is_skipped(case, network):
     other = b'HTTP/1.1 200 OK\r\nX-Of: other\r\nContent-Length: 3\r\n\r\nbad'
     _serve(network, other + OK)
-    status, body = await _ask(
+    status, body = await _request(
         client.Pool(1.0), lambda head: head.find(b'x-of') is None
     )
     case.assertEqual(b'ok', body)
 
 
-async def test_answer_cut_before_its_length_is_no_answer(case, network):
+async def test_response_shorter_than_its_length_fails(case, network):
     _serve(network, b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok')
     connection = await client.Pool(1.0).acquire(ADDRESS)
     connection.send(b'GET', b'/', [], b'')
@@ -109,7 +112,7 @@
         await connection.read_body()
 
 
-async def test_answer_without_length_ends_with_its_connection(case, network):
+async def test_response_without_length_ends_with_its_connection(case, network):
     servers = _serve(network, b'HTTP/1.1 200 OK\r\n\r\nall')
     connection = await client.Pool(1.0).acquire(ADDRESS)
     connection.send(b'GET', b'/', [], b'')
@@ -118,7 +121,7 @@
     case.assertEqual(b'all', await connection.read_body())
 
 
-async def test_answer_without_length_that_is_reset_is_not_whole(case, network):
+async def test_response_without_length_that_is_reset_fails(case, network):
     servers = _serve(network, b'HTTP/1.1 200 OK\r\n\r\nhalf')
     connection = await client.Pool(1.0).acquire(ADDRESS)
     connection.send(b'GET', b'/', [], b'')
@@ -128,7 +131,7 @@
         await connection.read_body()
 
 
-async def test_noise_is_no_answer(case, network):
+async def test_invalid_response_fails(case, network):
     _serve(network, b'\x00\x01\x02 what\r\n\r\n')
     connection = await client.Pool(1.0).acquire(ADDRESS)
     connection.send(b'GET', b'/', [], b'')
@@ -136,65 +139,58 @@
         await connection.read_head()
 
 
-async def test_refused_connection_says_that_nothing_was_sent(case, network):
+async def test_refused_connection_raises_not_sent(case, network):
     with case.assertRaises(client.NotSent):
         await client.Pool(1.0).acquire(ADDRESS)
 
 
-async def test_dark_host_is_given_up_in_time(case, network):
+async def test_unreachable_host_times_out(case, network):
     network.dark.add(HOST)
     with case.assertRaises(client.NotSent):
         await client.Pool(0.4).acquire(ADDRESS)
 
 
-STATED = (
+OK_WITH_KEEP_ALIVE = (
     b'HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\nContent-Length: 2\r\n\r\nok'
 )
 
 
-async def _rest_and_acquire(pool, rested):
-    await _ask(pool)
-    await asyncio.sleep(rested)
+async def _acquire_after_idle(pool, idle_seconds):
+    await _request(pool)
+    await asyncio.sleep(idle_seconds)
     connection = await pool.acquire(ADDRESS, 1.0)
     pool.release(ADDRESS, connection)
 
 
-async def test_stated_time_lets_an_order_use_a_rested_connection(
-    case, network
-):
-    """An instance sends each server a few orders in ten seconds.
+async def test_keep_alive_timeout_allows_longer_idle_time(case, network):
+    """``max_idle`` is exceeded, but the server's Keep-Alive timeout is not.
 
-    Each took a new connection, though the servers state that they keep idle
-    ones for ten. Only near that end may a close cross an order.
+    Only close to that timeout is a new connection needed.
     """
-    servers = _serve(network, STATED, STATED)
-    await _rest_and_acquire(client.Pool(1.0), 4.0)
+    servers = _serve(network, OK_WITH_KEEP_ALIVE, OK_WITH_KEEP_ALIVE)
+    await _acquire_after_idle(client.Pool(1.0), 4.0)
     case.assertEqual(1, len(servers))
-    await _rest_and_acquire(client.Pool(1.0), 6.0)
+    await _acquire_after_idle(client.Pool(1.0), 6.0)
     case.assertEqual(3, len(servers))
 
 
-async def test_order_uses_no_rested_connection_without_a_stated_time(
-    case, network
-):
+async def test_max_idle_applies_without_a_keep_alive_timeout(case, network):
     servers = _serve(network, OK)
-    await _rest_and_acquire(client.Pool(1.0), 1.5)
+    await _acquire_after_idle(client.Pool(1.0), 1.5)
     case.assertEqual(2, len(servers))
 
 
-async def test_whole_answer_stays_whole_when_its_connection_ends(
-    case, network
-):
-    """A server that leaves closes each connection behind its answer.
+async def test_response_is_complete_when_its_connection_closes(case, network):
+    """A server closes the connection directly after a chunked response.
 
-    The end of a chunked answer and that of its connection come at once,
-    before the reader is woken. The answer was taken for broken off.
+    The end of the response and of the connection arrive together, before the
+    reader runs. The response must still count as complete.
     """
-    answer = (
+    response = (
         b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n'
         b'Connection: close\r\n\r\n2\r\nok\r\n0\r\n\r\n'
     )
-    servers = _serve(network, answer)
+    servers = _serve(network, response)
     pool = client.Pool(1.0)
     connection = await pool.open(ADDRESS)
     connection.send(b'GET', b'/', [], b'')
--- a/tests/transport/test_server.py
+++ b/tests/transport/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of requests as callers may send them, well-formed or not."""
+"""Tests of the HTTP server with valid and invalid requests."""
 
 import asyncio
 
@@ -25,17 +25,17 @@
         return False
 
 
-class _Site:
+class _Handler:
     def __init__(self):
         self.requests = []
         self.refused = []
         self.cancelled = 0
-        self.work = 0.0
+        self.delay = 0.0
 
     async def handle(self, request, responder):
         self.requests.append(request)
         try:
-            await asyncio.sleep(self.work)
+            await asyncio.sleep(self.delay)
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
@@ -48,13 +48,13 @@
 
 
 @fixtures.fixture
-def site():
-    return _Site()
+def handler():
+    return _Handler()
 
 
-async def _connect(site):
+async def _connect(handler):
     http_server = server.HttpServer(
-        site.handle, lambda error: None, site.refused.append
+        handler.handle, lambda error: None, handler.refused.append
     )
     await http_server.listen(*ADDRESS)
     loop = asyncio.get_running_loop()
@@ -68,93 +68,93 @@
     return caller.received
 
 
-async def test_pipelined_requests_are_answered_in_order(case, network, site):
-    caller = await _connect(site)
-    site.work = 0.1
+async def test_pipelined_requests_are_answered_in_order(
+    case, network, handler
+):
+    caller = await _connect(handler)
+    handler.delay = 0.1
     received = await _send(
         caller, b'GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n'
     )
     case.assertLess(received.index(b'to /a'), received.index(b'to /b'))
 
 
-async def test_request_in_pieces_and_chunks_is_whole(case, network, site):
-    caller = await _connect(site)
+async def test_request_in_pieces_and_chunks_is_complete(
+    case, network, handler
+):
+    caller = await _connect(handler)
     await _send(caller, b'POST /a HTTP/1.1\r\nTransfer-Enc')
     await _send(caller, b'oding: chunked\r\n\r\n3\r\nabc\r\n')
     await _send(caller, b'2\r\nde\r\n0\r\n\r\n')
-    case.assertEqual(b'abcde', site.requests[0].body)
+    case.assertEqual(b'abcde', handler.requests[0].body)
 
 
-async def test_trailer_does_not_stand_in_for_a_header_field(
-    case, network, site
-):
-    """A field behind the body claims what only the system may set."""
-    caller = await _connect(site)
+async def test_trailers_are_not_merged_into_the_header(case, network, handler):
+    """A trailer must not set a header field that only the system may set."""
+    caller = await _connect(handler)
     await _send(
         caller,
         b'POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n'
         b'3\r\nabc\r\n0\r\nX-Claim: other\r\n\r\n',
     )
-    [request] = site.requests
+    [request] = handler.requests
     names = [name.lower() for name, _ in request.headers]
     case.assertNotIn(b'x-claim', names)
     case.assertEqual(b'abc', request.body)
 
 
-async def test_request_smuggled_behind_two_lengths_is_refused(
-    case, network, site
-):
-    """A request states its length twice, with another request inside."""
-    caller = await _connect(site)
+async def test_request_smuggling_is_refused(case, network, handler):
+    """Content-Length and Transfer-Encoding disagree about the body's end."""
+    caller = await _connect(handler)
     received = await _send(
         caller,
         b'POST /a HTTP/1.1\r\nContent-Length: 5\r\n'
         b'Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /b HTTP/1.1\r\n\r\n',
     )
     case.assertIn(b' 400 ', received)
-    case.assertEqual([], site.requests)
+    case.assertEqual([], handler.requests)
     case.assertTrue(caller.is_closed)
 
 
-async def test_oversized_requests_are_refused(case, network, site):
-    caller = await _connect(site)
+async def test_oversized_requests_are_refused(case, network, handler):
+    caller = await _connect(handler)
     received = await _send(
         caller, b'POST /a HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n'
     )
     case.assertIn(b' 413 ', received)
-    caller = await _connect(site)
+    caller = await _connect(handler)
     received = await _send(
         caller, b'GET /a HTTP/1.1\r\nX: %b\r\n\r\n' % (b'x' * 20000)
     )
     case.assertIn(b' 431 ', received)
-    case.assertEqual([], site.requests)
+    case.assertEqual([], handler.requests)
 
 
-async def test_half_a_request_is_not_waited_for_for_ever(case, network, site):
-    caller = await _connect(site)
+async def test_incomplete_request_times_out(case, network, handler):
+    caller = await _connect(handler)
     received = await _send(caller, b'GET /a HTT', 4.0)
     case.assertIn(b' 408 ', received)
-    case.assertEqual([], site.requests)
+    case.assertEqual([], handler.requests)
 
 
-async def test_noise_is_answered_and_closed(case, network, site):
-    caller = await _connect(site)
+async def test_invalid_request_is_refused(case, network, handler):
+    caller = await _connect(handler)
     received = await _send(caller, b'\x16\x03\x01 hello\r\n\r\n')
     case.assertIn(b' 400 ', received)
-    case.assertEqual([400], site.refused)
+    case.assertEqual([400], handler.refused)
 
 
-async def test_caller_that_leaves_cancels_its_request(case, network, site):
-    caller = await _connect(site)
-    site.work = 5.0
+async def test_disconnect_cancels_the_request(case, network, handler):
+    caller = await _connect(handler)
+    handler.delay = 5.0
     await _send(caller, b'GET /a HTTP/1.1\r\n\r\n')
     caller.transport.close()
     await asyncio.sleep(0.1)
-    case.assertEqual(1, site.cancelled)
+    case.assertEqual(1, handler.cancelled)
 
 
-async def test_idle_connection_is_closed_in_the_end(case, network, site):
-    caller = await _connect(site)
+async def test_idle_connection_is_closed(case, network, handler):
+    caller = await _connect(handler)
     await _send(caller, b'GET /a HTTP/1.1\r\n\r\n', 10.0)
     case.assertFalse(caller.is_closed)
     await asyncio.sleep(6.0)
