--- a/libs/gateway/vanillayoke/gateway/accounts.py
+++ b/libs/gateway/vanillayoke/gateway/accounts.py
@@ -1,4 +1,4 @@
-"""What one instance has and knows of one program's budget."""
+"""One instance's account of a program's budget."""
 
 import asyncio
 import typing
@@ -7,10 +7,10 @@
 
 
 class Refused(typing.NamedTuple):
-    """What a turn was refused by: the row, and what of it is held here.
+    """A turn refused for lack of budget, with the state of the account.
 
-    All but ``turns``, the number of turns under way, are tokens; ``age`` is
-    that of the row, in seconds.
+    ``turns`` is the number of turns in progress and ``age`` the age of the
+    budget row in seconds; all other numbers are tokens.
     """
 
     program: str
@@ -28,7 +28,7 @@
 
 
 class TakenOver(typing.NamedTuple):
-    """A program comes to this instance with tokens granted to others."""
+    """A program new to this instance has tokens granted to others."""
 
     program: str
     granted: int
@@ -39,7 +39,7 @@
 
 
 class Written(typing.NamedTuple):
-    """What a row adds to an account once it is known to be in the store."""
+    """Change to an account once its write is known to have taken effect."""
 
     tokens: int
     owed: int
@@ -49,7 +49,7 @@
 
 
 class Account:
-    """One program's budget as far as this instance has part in it."""
+    """This instance's part in one program's budget."""
 
     def __init__(self) -> None:
         self.purse = grants.Purse()
@@ -59,35 +59,35 @@
         self.is_fresh = False
         self.is_spent = False
         self.used_at = 0.0
-        # Given on credit and not yet in the row, and the program's budget.
+        # Tokens given on credit that are not yet recorded in the row.
         self.owed = 0
         self.budget = 0
-        # What this instance got of the budget, from the store or from other
-        # instances, and what it counts as given by homes before it.
+        # Tokens received from the store and from other instances.
         self.received = 0
+        # Tokens charged for credit that former coordinators may have given.
         self.charged = 0
-        # Rows of this instance, by writer, that may be in the store or not.
+        # Writes of this instance with an unknown outcome, by write id.
         self.doubted: dict[str, Written] = {}
-        # Set when the next turn ends, and then replaced.
+        # Set when the next turn ends, and then replaced by a new event.
         self.settlement = asyncio.Event()
 
     @property
     def known(self) -> int:
-        """The tokens granted by the row, as far as it is known."""
+        """The tokens granted according to the last known row."""
         return 0 if self.row is None else self.row.granted
 
     @property
     def known_at_most(self) -> int:
-        """The tokens that the row may have granted by now.
+        """The upper bound of the tokens that the row may have granted.
 
-        Rows in doubt expect the same version, so one of them at the most has
-        taken effect.
+        Unconfirmed writes expect the same version, so at most one of them
+        has taken effect.
         """
         doubted = (added.tokens for added in self.doubted.values())
         return self.known + max(doubted, default=0)
 
     def claim(self, writer: str) -> None:
-        """Take what one of this instance's rows adds, once."""
+        """Apply the effect of one of this instance's writes, once."""
         added = self.doubted.pop(writer, NOTHING)
         self.owed -= added.owed
         self.received += added.tokens
@@ -96,10 +96,10 @@
     def take_row(
         self, instance: str, row: grants.BudgetRow | None, version: int
     ) -> None:
-        """Take over what the store has; a row in doubt is so no longer.
+        """Update the account from the row in the store.
 
-        What was written for another version than this one can't take effect
-        any more.
+        A new version settles all unconfirmed writes: those that have not
+        taken effect by then can't do so any more.
         """
         is_newer = version != self.version
         self.row = row
--- a/libs/gateway/vanillayoke/gateway/background.py
+++ b/libs/gateway/vanillayoke/gateway/background.py
@@ -1,4 +1,4 @@
-"""Work that goes on behind whoever waits for it."""
+"""Tasks that continue when their caller stops waiting."""
 
 import asyncio
 import typing
@@ -10,9 +10,9 @@
     work: typing.Coroutine[typing.Any, typing.Any, _Result],
     spawn: typing.Callable[[typing.Coroutine], None],
 ) -> asyncio.Future[_Result]:
-    """Start work that is kept to its end when nobody waits any more.
+    """Start a task that runs to completion even if nobody awaits it.
 
-    ``spawn`` keeps tasks and notes their errors.
+    ``spawn`` holds references to tasks and logs their errors.
     """
     task = asyncio.ensure_future(work)
     spawn(_wait_for(task))
--- a/libs/gateway/vanillayoke/gateway/clocks.py
+++ b/libs/gateway/vanillayoke/gateway/clocks.py
@@ -1,26 +1,25 @@
-"""What each program's home keeps of it: time lost, and where it ran last."""
+"""Per-program state at its coordinator: time lost and recent targets."""
 
 import collections
 
 from vanillayoke.scheduling import outlook
 
-# A program without a turn for so long has ended, as far as anybody can tell.
-# Seconds.
+# Programs idle for longer are regarded as ended.
 QUIET = 3.0
-# Late programs may pause long; their clocks are kept this long. Seconds.
+# How long the state of an idle program is kept, in case it continues.
 KEPT = 120.0
 
 
 class Clocks:
-    """The clocks of the programs whose home this instance is."""
+    """Tracks the programs that this instance coordinates."""
 
     def __init__(self) -> None:
         self._clocks: collections.OrderedDict[str, outlook.ProgramClock] = (
             collections.OrderedDict()
         )
         self._routes: dict[str, str] = {}
-        # The targets that the last turns ran at, by program and session; that
-        # of the program's last turn stands under the session ''.
+        # The target of the last turn by program and session; the session ''
+        # stands for the program's last turn in any session.
         self._targets: dict[str, dict[str, str]] = {}
         self._shares: dict[str, outlook.IdleShare] = {}
 
@@ -32,7 +31,7 @@
         time_left: float,
         now: float,
     ) -> outlook.Slack:
-        """Note a turn and return what is left to its line."""
+        """Record the start of a turn; return the slack of its session."""
         clock = self._clocks.get(program)
         if clock is None:
             clock = outlook.ProgramClock(session, now, time_left)
@@ -45,27 +44,27 @@
     def lose(
         self, program: str, session: str, seconds: float, now: float
     ) -> None:
-        """Note what a turn lost to waiting."""
+        """Record the time that a turn lost to waiting."""
         clock = self._clocks.get(program)
         if clock is not None:
             clock.lose(session, seconds, now)
 
     def place(self, program: str, session: str, target: str) -> None:
-        """Note where a turn has ended whole."""
+        """Record the target at which a turn was completed."""
         if program in self._clocks:
             known = self._targets.setdefault(program, {})
             known[session] = known[''] = target
 
     def find_target(self, program: str, session: str) -> str | None:
-        """Return the target that has most of a line's prompt.
+        """Return the target that caches most of a session's prompt.
 
-        A new line begins with the prompt of the one that started it.
+        A new session begins with the prompt of the one that started it.
         """
         known = self._targets.get(program, {})
         return known.get(session) or known.get('')
 
     def prune(self, now: float) -> None:
-        """Learn from the programs that have ended and forget them."""
+        """Learn from the programs that have ended, and drop old ones."""
         for program, clock in list(self._clocks.items()):
             quiet = now - clock.used_at
             if quiet < QUIET:
--- a/libs/gateway/vanillayoke/gateway/holders.py
+++ b/libs/gateway/vanillayoke/gateway/holders.py
@@ -1,7 +1,7 @@
-"""Tokens of budgets that move between instances.
+"""Transfers of budget tokens between instances.
 
-Whatever an instance was granted stays there until somebody asks for it: the
-row of a budget counts it as granted all the same.
+Granted tokens stay with an instance until another one requests them; the
+budget's row counts them as granted either way.
 """
 
 import asyncio
@@ -16,43 +16,36 @@
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import store as store_module
 
-# The best homes of a program that are asked for what they hold of its budget
-# besides those that the row names: tokens that a stopping instance handed on
-# went to the best one of its moment.
+# Instances that are asked for a program's tokens besides those named by its
+# row, in order of their scores: a stopping instance transfers its tokens to
+# the highest-ranked instance that it knows.
 MOST_RANKED = 2
-# How long a turn waits for what others hold. Most answer within milliseconds;
-# one that stands still is gone from the members two seconds later. Seconds.
 COLLECTING_PATIENCE = 0.5
-# How long a holder that has to ask the store first is waited for. Seconds.
+# A holder may have to read the store before it responds.
 ANSWER_PATIENCE = 1.0
-# How long an instance that has joined waits for the former home. Seconds.
 FORMER_PATIENCE = 0.15
-# How long an instance that stops waits for the programs' next homes; what is
-# not answered by then goes on being sent. Seconds.
+# How long a stopping instance waits for acknowledgements; transfers are still
+# repeated afterwards.
 HANDING_PATIENCE = 0.3
-# How long after a search that found nothing another one confirms it: tokens
-# take some milliseconds from one instance to another. Seconds.
+# Delay before an empty search is repeated, since tokens may be in transit.
 CONFIRMING_PAUSE = 0.15
-# How long the outcome of a search holds: a program that loops asks some ten
-# times a second. Seconds.
+# How long an empty search is valid.
 SEARCH_PAUSE = 0.5
 MOST_SEARCHES = 1000
-# How many programs are remembered that others got tokens of, and how many of
-# these others: an instance that stops keeps some hundred programs and answers
-# for seconds more, and the homes that a program has in that time are few.
+# Programs for which receivers of tokens are remembered, and receivers of each.
 MOST_HANDED_ON = 2000
 MOST_RECEIVERS = 4
 
 
 class _Search(typing.NamedTuple):
-    """A search among the other holders that found nothing."""
+    """A search that found no tokens at other instances."""
 
     at: float
     silent: tuple[str, ...]
 
 
 class Holders:
-    """Collects from other instances what they hold, and hands it on."""
+    """Collects tokens from other instances and transfers them."""
 
     def __init__(
         self,
@@ -77,16 +70,17 @@
         )
 
     def use(self, peers: peers_module.Peers) -> None:
-        """Ask other instances through this from now on."""
+        """Set the connection to other instances."""
         self._peers = peers
 
     async def hand_over(self) -> int:
-        """Give what was granted here to the programs' next homes.
+        """Transfer all free tokens to the programs' next coordinators.
 
-        For an instance that stops; no call to the store is needed. Returns
+        Called when this instance stops; makes no call to the store. Return
         the number of programs.
         """
-        # Tokens that go to one that is listed and never started are lost.
+        # Only live instances: tokens sent to one that is listed in the store
+        # and never started would be lost.
         others = self._drop_self(self._roster.list_live())
         programs = self._ledger.list_programs()
         if others:
@@ -97,11 +91,11 @@
         return len(programs)
 
     def give_up(self, program: str, asker: str) -> peer_messages.Handed:
-        """Give what is free to an asker, and say who got what was here.
+        """Release the free tokens; return them with their former receivers.
 
-        While all instances leave they differ about who stays, and tokens go
-        to instances that no row names and that rank too low to be asked by
-        themselves. A search follows them from those that are.
+        While all instances are leaving, their membership views differ. Tokens
+        may then move to instances that no row names and that rank too low to
+        be asked. A search finds these through the receivers returned here.
         """
         before = self._receivers.get(program, ())
         tokens = self._ledger.withdraw(program)
@@ -119,12 +113,12 @@
             self._receivers.popitem(last=False)
 
     async def collect(self, program: str, until: float) -> bool:
-        """Take over what other instances hold of a budget; say if any did.
+        """Collect tokens from other instances; return whether there were any.
 
-        The row counts what was granted, not what was used: while homes
-        change, grants stay with the ones before. "Spent" ends a program, so
-        it is said only once the others have been asked. Raise
-        ``StoreRefusedError`` if one of them does not answer.
+        The row counts tokens granted, not used, and former coordinators keep
+        their grants. A spent budget ends a program, so it is reported only
+        after the other instances have been asked. Raise
+        ``StoreRefusedError`` if one of them does not respond.
         """
         running = self._running.get(program)
         if running is None:
@@ -150,12 +144,12 @@
             return True
         if self._searches[program].silent:
             return False
-        # Tokens that were on their way between two others have arrived then.
+        # Tokens in transit between two other instances arrive meanwhile.
         await self._timers.sleep(CONFIRMING_PAUSE)
         return await self._search(program, patience)
 
     async def _search(self, program: str, patience: float) -> bool:
-        """Ask all that may hold tokens; say if any did."""
+        """Ask all possible holders; return whether any had tokens."""
         named = self._name_holders(program)
         holders = self._find_holders(program, named)
         asked = {self._instance, *(one.instance for one in holders)}
@@ -169,8 +163,8 @@
             if tokens is None
         )
         if any(found):
-            # Another one may take it back at once: that is no reason to call
-            # the budget spent without a further search.
+            # Another instance may collect the tokens again at once; the
+            # budget must not be reported spent without a further search.
             self._searches.pop(program, None)
             return True
         self._searches[program] = _Search(self._timers.now(), silent)
@@ -184,9 +178,9 @@
         patience: float,
         work: typing.Sequence[typing.Coroutine[typing.Any, typing.Any, int]],
     ) -> list[int | None]:
-        """Return the results that come in time; the rest goes on.
+        """Return the results available in time, ``None`` for the others.
 
-        Tokens that are on the way when the time is over must not be dropped.
+        The others continue: tokens that arrive later must not be dropped.
         """
         tasks = [background.start(one, self._spawn) for one in work]
         if tasks:
@@ -194,7 +188,7 @@
         return [one.result() if one.done() else None for one in tasks]
 
     def _name_holders(self, program: str) -> set[str]:
-        """Return the instances that are known to have been given tokens."""
+        """Return the instances known to have received tokens."""
         granted = (name for name, _ in self._ledger.list_holders(program))
         return {*granted, *self._receivers.get(program, ())}
 
@@ -210,11 +204,11 @@
     def _ask_failed(
         self, program: str, named: set[str], asked: set[str]
     ) -> None:
-        """Ask holders that count as failed, without waiting for them.
+        """Ask holders regarded as failed, without waiting for them.
 
-        While many instances start at once, each takes those that start a
-        little later for failed, and hears seconds later that they live. What
-        they give is there before a second search has confirmed the first.
+        While many instances start together, each regards those that start
+        later as failed for some seconds. Their tokens arrive before the
+        search is repeated.
         """
         for one in self._roster.list_failed():
             if one.instance in named and one.instance not in asked:
@@ -224,10 +218,10 @@
     async def _take_over(
         self, program: str, holder: homes_ranking.HomeMember, asked: set[str]
     ) -> int | None:
-        """Take over the tokens of a holder and of those it gave some to.
+        """Collect the tokens of a holder and of those it transferred to.
 
-        ``asked`` names who is left out, and grows. Return ``None`` if one is
-        silent and nothing was got.
+        ``asked`` names instances to leave out, and is extended. Return
+        ``None`` if one does not respond and no tokens were collected.
         """
         answer = await self._ask_for_tokens(program, holder)
         if answer is None:
@@ -260,10 +254,10 @@
         return answer
 
     async def ask_former_home(self, program: str) -> None:
-        """Ask the former home of a program for what it still has.
+        """Collect a program's tokens from its former coordinator.
 
-        An instance that has just joined became the home of programs that
-        are under way.
+        An instance that has just joined becomes the coordinator of programs
+        that are already running.
         """
         if self._ledger.has_account(program):
             return
@@ -282,8 +276,8 @@
         others: typing.Sequence[homes_ranking.HomeMember],
     ) -> int:
         home = homes_ranking.find_home(program, others)
-        # Given up before it is sent: a message that is lost loses tokens,
-        # and one that arrives late does not make them count twice.
+        # Withdrawn before sending: a lost message loses tokens, but a late
+        # one never counts them twice.
         tokens = self._ledger.withdraw(program)
         self._note_receiver(program, home.instance)
         await self._peers.ask(
--- a/libs/gateway/vanillayoke/gateway/home_calls.py
+++ b/libs/gateway/vanillayoke/gateway/home_calls.py
@@ -1,4 +1,4 @@
-"""Asking the homes of programs, and passing over those that are silent."""
+"""Requests to the coordinators of programs, skipping unresponsive ones."""
 
 import typing
 
@@ -7,16 +7,15 @@
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
 
-# How many homes of a program are asked: the second one where the first does
-# not answer or leaves, as while many instances stop or start.
+# The second instance in rank is asked if the first does not respond or is
+# leaving.
 MOST_ASKED = 2
-# For how long a home that did not answer is passed over. It is found to have
-# failed some two seconds later. Seconds.
+# How long an instance that did not respond is skipped.
 SILENCE = 1.0
 
 
 class HomeCalls:
-    """Asks homes on behalf of this instance's turns."""
+    """Sends requests to coordinators for the turns of this instance."""
 
     def __init__(
         self,
@@ -28,19 +27,20 @@
         self._timers = timer_service
         self._spawn = spawn
         self._peers: peers_module.Peers | None = None
-        # When homes were last asked in vain, by instance.
+        # When a request last timed out, by instance.
         self._silent: dict[str, float] = {}
 
     def use(self, peers: peers_module.Peers) -> None:
-        """Ask other instances through this from now on."""
+        """Set the connection to other instances."""
         self._peers = peers
 
     def list_homes(self, program: str) -> list[homes_ranking.HomeMember]:
-        """Return the best homes, those that were silent a moment ago left out.
+        """Return the instances to ask, leaving out unresponsive ones.
 
-        All that miss a home ask the same next one. Each for itself would
-        split the budget into parts that are too small for a turn. Where all
-        are told to stop, the best of them stays the home.
+        All instances that can't reach the coordinator ask the same next one:
+        if each reserved for itself, the budget would be split into parts too
+        small for a turn. If all instances are leaving, the one with the
+        highest score remains the coordinator.
         """
         members = self._roster.list_homes() or self._roster.list_reachable()
         self.prune()
@@ -56,10 +56,10 @@
         question: peer_messages.Reserve,
         until: float,
     ) -> peer_messages.Answer | None:
-        """Ask a home to reserve; settle there what no answer tells of.
+        """Request a reservation; settle it if no final response arrives.
 
-        The home may have reserved, or do so later; nobody else would ever
-        end a turn that goes on elsewhere or not at all.
+        The coordinator may have reserved or may do so later, and nothing else
+        would settle a turn that runs elsewhere or not at all.
         """
         answer = peer_messages.Pending()
         try:
@@ -77,7 +77,7 @@
     async def settle(
         self, address: str, question: peer_messages.Settle
     ) -> None:
-        """Tell the keeper of a reservation that its turn is over."""
+        """Notify the instance that made a reservation that its turn ended."""
         await self._peers.ask(
             address,
             question,
@@ -86,7 +86,7 @@
         )
 
     def prune(self) -> None:
-        """Forget who was silent longer ago."""
+        """Stop skipping instances whose timeout has passed."""
         limit = self._timers.now() - SILENCE
         for name in [one for one, at in self._silent.items() if at <= limit]:
             del self._silent[name]
--- a/libs/gateway/vanillayoke/gateway/homes.py
+++ b/libs/gateway/vanillayoke/gateway/homes.py
@@ -1,9 +1,10 @@
-"""Each program's budget is kept by one instance, its home, while it can be.
+"""Reservations of program budgets, made at each program's coordinator.
 
-The home is the live instance with the highest rendezvous score. All turns of
-a program reserve there, so one grant of the store serves many turns and most
-turns need no call to the store. Nothing depends on instances agreeing about
-the home: two that both grant have grants of their own.
+The coordinator is the live instance with the highest rendezvous score for the
+program. All turns of a program reserve there, so that one grant of the store
+serves many turns and most turns need no call to the store. Safety does not
+depend on instances agreeing about the coordinator: two instances that both
+reserve do so from separate grants.
 """
 
 import asyncio
@@ -23,34 +24,27 @@
 from vanillayoke.gateway import tenure as tenure_module
 from vanillayoke.scheduling import outlook
 
-# The longest that a home waits for the store on behalf of another instance.
-# Seconds.
+# How long the store may take on behalf of another instance.
 HOME_PATIENCE = 2.5
-# For how long an instance that has joined asks former homes. Programs that
-# were under way then have ended or come here since. Seconds.
+# How long after joining this instance asks the former coordinators of
+# programs for their tokens.
 NEWCOMER = 20.0
-# How long a turn waits for a grant before it goes on credit. The store
-# answers within some ten milliseconds when it is well. Seconds.
+# How long a turn waits for a grant before it proceeds on credit.
 CREDIT_PATIENCE = 0.1
-# Credits written down at once when the store is back, and in each round of
-# the upkeep: a few programs begin on credit at each home, and all homes write
-# in the same moment.
+# Programs whose credit is recorded concurrently.
 MOST_CREDITS = 10
-# How often what others hold is collected for one turn: fragments come from
-# several holders, mostly at once.
+# Rounds of collecting tokens from other instances for one turn.
 MOST_COLLECTIONS = 4
-# How many turns that are over, and programs that others have a part in, are
-# remembered: some ten a second come to one home, and programs last seconds.
 MOST_REMEMBERED = 2000
-# How often a home checks that it runs; a gap shows that it did not. Seconds.
+# Interval of the check that the event loop is running.
 TICK = 0.25
 
 
 class Reservation(typing.NamedTuple):
-    """How a reservation ended.
+    """The outcome of a reservation.
 
-    ``keeper`` is the address of who made it, '' for this instance;
-    ``target`` has most of the prompt in its memory, if that is known.
+    ``keeper`` is the address of the instance that made it, '' for this one.
+    ``target`` is the target that caches most of the prompt, if known.
     """
 
     is_granted: bool
@@ -62,7 +56,7 @@
 def _remember(
     known: collections.OrderedDict[typing.Any, None], key: typing.Any
 ) -> None:
-    """Remember a key, and forget the oldest one beyond the bound."""
+    """Add a key, and evict the oldest one beyond the maximum size."""
     known[key] = None
     known.move_to_end(key)
     if len(known) > MOST_REMEMBERED:
@@ -70,7 +64,7 @@
 
 
 class Homes:
-    """Reserves and settles with the home of each program."""
+    """Reserves and settles tokens at the coordinator of each program."""
 
     def __init__(
         self,
@@ -100,30 +94,31 @@
         )
         self._calls = home_calls.HomeCalls(roster, timer_service, spawn)
         self.is_leaving = False
-        # Turns that are over, by program. The question to reserve for one may
-        # still come, late or a second time, and nobody would settle it again.
+        # Turns that have ended, by program. A request to reserve for one may
+        # still arrive, late or duplicated, and would never be settled.
         self._ended: collections.OrderedDict[tuple[str, str], None] = (
             collections.OrderedDict()
         )
-        # Programs that came here behind trouble of the store: the home before
-        # may have given them credit.
+        # Programs first seen shortly after a failure of the store: their
+        # former coordinators may have given them credit.
         self._uncharged: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
-        # Programs that others have reserved for while this was their home.
+        # Programs that other instances have reserved for while this instance
+        # was their coordinator.
         self._shared: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
 
     def use(self, peers: peers_module.Peers) -> None:
-        """Ask other instances through this from now on."""
+        """Set the connection to other instances."""
         self._calls.use(peers)
         self._holders.use(peers)
 
     async def hand_over(self) -> int:
-        """Give what was granted here to the programs' next homes.
+        """Transfer all free tokens to the programs' next coordinators.
 
-        For an instance that stops; no call to the store is needed. Returns
+        Called when this instance stops; makes no call to the store. Return
         the number of programs.
         """
         return await self._holders.hand_over()
@@ -131,9 +126,9 @@
     def reserve_here(
         self, question: peer_messages.Reserve
     ) -> Reservation | None:
-        """Reserve from what this instance was granted; ``None`` if too little.
+        """Reserve from this instance's own tokens; ``None`` if too few.
 
-        It was granted as the program's home or in place of it.
+        They were granted to it as the program's coordinator or in its place.
         """
         self._tenure.note_program()
         self._charge(question)
@@ -147,9 +142,9 @@
     async def reserve(
         self, question: peer_messages.Reserve, until: float
     ) -> Reservation:
-        """Reserve the most of a turn with its program's home.
+        """Reserve the maximum of a turn at its program's coordinator.
 
-        Raise ``StoreError`` if nobody could say.
+        Raise ``StoreError`` if the outcome can't be determined.
         """
         found = self.reserve_here(question)
         if found is not None:
@@ -176,9 +171,10 @@
     async def _reserve_apart(
         self, question: peer_messages.Reserve, until: float
     ) -> ledger_module.Outcome:
-        """Reserve in a task that goes on if the caller leaves.
+        """Reserve in a task that continues if the caller is cancelled.
 
-        A row may be written by then, and what it grants must be taken.
+        The row may already be written then, and its grant must be accounted
+        for.
         """
         work = asyncio.ensure_future(self._reserve_from_store(question, until))
         try:
@@ -201,22 +197,22 @@
     async def settle(
         self, address: str, question: peer_messages.Settle
     ) -> None:
-        """Tell the keeper of a reservation that its turn is over."""
+        """Notify the instance that made a reservation that its turn ended."""
         if not address:
             self._settle(question)
             return
         await self._calls.settle(address, question)
 
     def prune(self) -> None:
-        """Forget what has ended."""
+        """Run maintenance: drop idle state and record credit."""
         self._ledger.prune()
         self.record_credit()
         self._clocks.prune(self._timers.now())
 
     def record_credit(self) -> None:
-        """Write down what was given on credit, if the store answers.
+        """Record in the store what was given on credit, if it is available.
 
-        A home that died before would leave nobody who knows.
+        Unrecorded credit is lost if this instance fails.
         """
         if self._ledger.is_away:
             return
@@ -251,14 +247,14 @@
     async def _reserve_from_others(
         self, question: peer_messages.Reserve, until: float, extra: int
     ) -> ledger_module.Outcome:
-        """Reserve once others have handed over what they hold.
+        """Reserve after collecting tokens from other instances.
 
-        Two homes that both lack a little would take it from each other for as
-        long as their callers wait: after a few rounds the turn comes again.
+        Two coordinators that are both short of tokens could take them from
+        each other until their callers time out, so the rounds are limited.
         """
         for _ in range(MOST_COLLECTIONS):
             if not await self._holders.collect(question.program, until):
-                # Turns may have ended while the others were asked.
+                # Turns may have ended during the collection.
                 if self._ledger.reserve_now(
                     question.program, question.turn, question.need
                 ):
@@ -284,10 +280,10 @@
         )
 
     def _allow_for_predecessor(self, question: peer_messages.Reserve) -> int:
-        """Allow for what a home before this one may have taken with it.
+        """Allow for tokens that a former coordinator may have lost or given.
 
-        What it may have given on credit is counted as granted. Return the
-        tokens that may be granted beyond the budget: the most of one turn.
+        Credit that it may have given is charged to the program. Return the
+        tokens that may be granted beyond the budget: one turn's maximum.
         """
         is_new = not self._ledger.has_account(question.program)
         now = self._timers.now()
@@ -297,10 +293,11 @@
         return question.need
 
     def _charge(self, question: peer_messages.Reserve) -> None:
-        """Count what the home before may have given, once it matters.
+        """Charge once what a former coordinator may have given on credit.
 
-        Turns that are kept get no credit. Charged for it, a new program of
-        theirs is told "spent" before its first turn once a home or two died.
+        Only turns that may run on credit are charged. A new program that
+        never gets credit could otherwise be refused as spent at its first
+        turn after one or two coordinators failed.
         """
         if question.may_owe and question.program in self._uncharged:
             del self._uncharged[question.program]
@@ -309,7 +306,7 @@
             )
 
     async def _reserve_soon(self, question: peer_messages.Reserve) -> bool:
-        """Reserve from the store if it answers soon, else on credit."""
+        """Reserve from the store, or on credit if it takes too long."""
         asked = background.start(
             self._ledger.top_up(
                 question.program, question.budget, question.need
@@ -322,12 +319,12 @@
         ):
             return True
         if asked.done() and not self._ledger.is_closed:
-            # The store has answered: the budget may be spent.
+            # The store has responded: the budget may be spent.
             return False
         return self._give_credit(question)
 
     def _give_credit(self, question: peer_messages.Reserve) -> bool:
-        """Let a turn begin without the store, if that can't be too much."""
+        """Reserve without the store, if that can't exceed the budget."""
         if not question.may_owe or not self._is_sure(question.program):
             return False
         tokens = self._ledger.give_credit(
@@ -338,7 +335,7 @@
         return bool(tokens)
 
     def _is_sure(self, program: str) -> bool:
-        """Whether no other instance can have granted to the program."""
+        """Return whether no other instance can have granted tokens."""
         if self.is_leaving or program in self._shared:
             return False
         now = self._timers.now()
@@ -389,7 +386,7 @@
     def _make_reservation(
         self, question: peer_messages.Reserve
     ) -> Reservation:
-        """Return a reservation made here."""
+        """Return a reservation made by this instance."""
         granted = self._grant(question)
         return Reservation(True, '', granted.slack, granted.target)
 
@@ -403,7 +400,7 @@
         peer_messages.Answer
         | typing.Coroutine[typing.Any, typing.Any, peer_messages.Answer]
     ):
-        """Answer another instance."""
+        """Handle a request of another instance."""
         match question:
             case peer_messages.Settle():
                 self._settle(question)
@@ -434,7 +431,7 @@
     async def _give_up_sure(
         self, program: str, asker: str
     ) -> peer_messages.Answer:
-        """Hand over, once it is known what this instance was granted."""
+        """Hand over tokens after confirming this instance's writes."""
         try:
             await self._ledger.clear_doubt(program)
         except store_module.StoreError:
@@ -452,7 +449,7 @@
         if outcome is ledger_module.Outcome.SPENT:
             return peer_messages.Spent()
         if (question.program, question.turn) in self._ended:
-            # The asker has given up meanwhile, and settled it.
+            # The requesting instance has timed out and settled the turn.
             self._ledger.settle(question.program, question.turn, 0)
             return peer_messages.Unable(False)
         return self._grant(question)
--- a/libs/gateway/vanillayoke/gateway/homes_ranking.py
+++ b/libs/gateway/vanillayoke/gateway/homes_ranking.py
@@ -1,4 +1,7 @@
-"""Which instance is a program's home: the highest rendezvous score."""
+"""Rendezvous hashing: each key has the instance with the highest score.
+
+Keys are programs, organisations, targets and partitions of tables.
+"""
 
 import functools
 import heapq
@@ -8,7 +11,7 @@
 
 
 class HomeMember(typing.NamedTuple):
-    """A live instance and where it takes datagrams."""
+    """An instance and the address at which it receives datagrams."""
 
     instance: str
     address: str
@@ -19,11 +22,11 @@
 
 
 class Roster(typing.NamedTuple):
-    """Lists the instances as this one sees them now.
+    """Lists the instances by their state, as this instance sees them.
 
-    Homes may keep programs; live ones are those of them that were heard of.
-    Reachable ones answer, or may do so in a moment; those that leave are no
-    homes any more. Failed ones do not answer.
+    Candidates may become coordinators. Live ones are the candidates that have
+    been in contact. Reachable ones are alive, suspected or leaving; those
+    that are leaving are no candidates any more. Failed ones do not respond.
     """
 
     list_homes: ListMembers
@@ -38,12 +41,12 @@
 
 
 def find_score(program: str, instance: str) -> int:
-    """Return the score of an instance for a program."""
+    """Return the score of an instance for a key."""
     return xxhash.xxh3_64_intdigest(program.encode(), _seed(instance))
 
 
 def find_first(program: str, instances: typing.Iterable[str]) -> str | None:
-    """Return the instance with the highest score."""
+    """Return the name with the highest score."""
     return max(
         instances, key=lambda one: find_score(program, one), default=None
     )
@@ -52,7 +55,7 @@
 def find_home(
     program: str, members: typing.Sequence[HomeMember]
 ) -> HomeMember | None:
-    """Return the instance that keeps a program's budget."""
+    """Return the instance with the highest score, the key's coordinator."""
     return max(
         members,
         key=lambda one: find_score(program, one.instance),
@@ -63,7 +66,7 @@
 def list_best(
     program: str, members: typing.Iterable[HomeMember], count: int
 ) -> list[HomeMember]:
-    """Return the best instances for a program, the best one first."""
+    """Return the instances with the highest scores in descending order."""
     return heapq.nlargest(
         count, members, key=lambda one: find_score(program, one.instance)
     )
--- a/libs/gateway/vanillayoke/gateway/ledger.py
+++ b/libs/gateway/vanillayoke/gateway/ledger.py
@@ -1,4 +1,4 @@
-"""Grants of program budgets, kept in the store by compare-and-set."""
+"""Grants of program budgets, recorded in the store by compare-and-set."""
 
 import asyncio
 import collections
@@ -16,22 +16,17 @@
 from vanillayoke.programs import grants
 
 TABLE = 'budgets'
-# Accounts of programs that asked for nothing for so long are dropped; what
-# they had left stays counted as granted. Longer than programs pause. Seconds.
+# Accounts of programs idle for longer are dropped; the tokens left in them
+# stay counted as granted.
 IDLE_ACCOUNT = 120.0
-# The most conflicts in a row over one program's row before the caller is
-# told that the store is busy: each one is another instance's success.
+# Consecutive conflicts on a program's row before the caller gets an error.
 MOST_CONFLICTS = 20
-# No row ever has this version: expecting it returns the row as it is.
+# No row ever has this version: expecting it returns the current row.
 NEVER_VERSION = 2**53 - 1
-
-
-# For how long a turn that finds no room waits for others of its program that
-# have reserved some: most turns of sub-agents take less. Seconds.
+# How long a turn that does not fit waits for the program's other turns to
+# release tokens that they have reserved.
 SETTLEMENT_PATIENCE = 1.0
-# How long the store is asked what became of a row. Seconds.
 DOUBT_PATIENCE = 0.5
-# How long a grant that no turn waits for is tried for. Seconds.
 TOP_UP_PATIENCE = 2.0
 
 
@@ -47,7 +42,7 @@
 
 
 class Ledger:
-    """What this instance may let programs generate."""
+    """Tokens that this instance may let programs generate."""
 
     def __init__(
         self,
@@ -68,16 +63,16 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether no grant can be had from the store now."""
+        """Whether the store can't be reached directly or through a relay."""
         return self._store.is_closed
 
     @property
     def is_away(self) -> bool:
-        """Whether the store does not answer this instance."""
+        """Whether the store does not respond to this instance."""
         return self._store.is_away
 
     def reserve_now(self, program: str, turn: str, need: int) -> bool:
-        """Reserve from what was granted before; say if that was enough."""
+        """Reserve from tokens already granted; return whether they suffice."""
         account = self._accounts.get(program)
         return account is not None and account.purse.reserve(turn, need)
 
@@ -90,10 +85,10 @@
         until: float,
         extra: int = 0,
     ) -> Outcome:
-        """Reserve the most that a turn may generate.
+        """Reserve the maximum number of tokens that a turn may generate.
 
-        ``extra`` tokens beyond the budget may be granted for it. Raise
-        ``StoreError`` if the store can't be asked until then.
+        Up to ``extra`` tokens beyond the budget may be granted. Raise
+        ``StoreError`` if the store can't be reached before the deadline.
         """
         account = self._open(program)
         patience = min(until, self._timers.now() + SETTLEMENT_PATIENCE)
@@ -132,10 +127,10 @@
         raise store_module.StoreRefusedError('too many conflicts')
 
     async def _wait_for(self, settlement: asyncio.Event, until: float) -> bool:
-        """Wait for a turn to end; say whether one did in time.
+        """Wait for a turn to end; return whether one did in time.
 
-        A turn reserves the most that it may generate, and most need a part
-        of it: what another one has reserved is not spent yet.
+        A turn reserves the maximum that it may generate and usually uses
+        less, so tokens become free when another turn is settled.
         """
         left = until - self._timers.now()
         if left <= 0:
@@ -148,19 +143,19 @@
         return True
 
     def list_holders(self, program: str) -> tuple[tuple[str, str], ...]:
-        """Return who was granted tokens, with the writers of their rows."""
+        """Return the instances granted tokens, with their last write ids."""
         account = self._accounts.get(program)
         if account is None or account.row is None:
             return ()
         return account.row.holders
 
     def is_in_doubt(self, program: str) -> bool:
-        """Say whether a row of this instance may be in the store or not."""
+        """Return whether the outcome of a write to the row is unknown."""
         account = self._accounts.get(program)
         return account is not None and bool(account.doubted)
 
     async def clear_doubt(self, program: str) -> None:
-        """Find out which rows of this instance are in the store."""
+        """Find out which writes of this instance took effect."""
         account = self._open(program)
         until = self._timers.now() + DOUBT_PATIENCE
         async with account.lock:
@@ -169,7 +164,7 @@
     def note_refused(
         self, program: str, budget: int, turn: str, need: int
     ) -> None:
-        """Tell what a turn is refused by."""
+        """Report the state of the account that a turn was refused by."""
         account = self._open(program)
         row, purse = account.row, account.purse
         age = 0.0 if row is None else self._timers.wall() - row.time
@@ -193,9 +188,9 @@
     def give_credit(
         self, program: str, budget: int, turn: str, need: int
     ) -> int:
-        """Reserve on credit, for a home that is sure to be the only one.
+        """Reserve on credit, for a coordinator known to be the only one.
 
-        Return the tokens given; 0 if the credit does not hold the turn.
+        Return the tokens given; 0 if the credit limit does not allow them.
         """
         account = self._open(program)
         missing = max(0, need - account.purse.free)
@@ -210,7 +205,7 @@
         return tokens if account.purse.reserve(turn, need) else 0
 
     def charge(self, program: str, budget: int, most: int) -> None:
-        """Count what a home before this one may have given on credit."""
+        """Charge what a former coordinator may have given on credit."""
         account = self._open(program)
         tokens = grants.find_charge(budget, most)
         account.owed += tokens
@@ -218,7 +213,7 @@
         account.budget = budget
 
     def list_owing(self) -> list[str]:
-        """Return the programs with credit that the store does not know of."""
+        """Return the programs with credit not yet recorded in the store."""
         return [
             program
             for program, account in self._accounts.items()
@@ -226,7 +221,7 @@
         ]
 
     async def record_credit(self, program: str) -> None:
-        """Write down what was given on credit."""
+        """Record in the store what was given on credit."""
         account = self._open(program)
         until = self._timers.now() + TOP_UP_PATIENCE
         async with account.lock:
@@ -245,11 +240,11 @@
                 try:
                     await self._write(account, program, row, until, added)
                 except store_module.StoreError:
-                    # Tried again at the next round.
+                    # The next maintenance run tries again.
                     return
 
     def needs_more(self, program: str, need: int) -> bool:
-        """Say whether another turn like the last would not fit."""
+        """Return whether another turn of this size would not fit."""
         account = self._accounts.get(program)
         return (
             account is not None
@@ -272,33 +267,33 @@
                 ):
                     account.is_spent = account.is_fresh
             except store_module.StoreError:
-                # The turn that needs it will ask again.
+                # The next turn requests the grant itself.
                 return
 
     def has_account(self, program: str) -> bool:
-        """Say whether this instance keeps anything of a program."""
+        """Return whether this instance has an account of a program."""
         return program in self._accounts
 
     def deposit(self, program: str, tokens: int) -> None:
-        """Take over what another instance was granted."""
+        """Add tokens that were transferred from another instance."""
         account = self._open(program)
         account.received += tokens
         account.purse.add(tokens)
 
     def withdraw(self, program: str) -> int:
-        """Give up what is not reserved, for another instance."""
+        """Remove the unreserved tokens, to transfer them; return the count."""
         account = self._accounts.get(program)
         if account is None:
             return 0
         free = account.purse.take_free()
-        # What was given on credit is not handed on, but paid back.
+        # Tokens given on credit are paid back instead of being transferred.
         kept = min(free, account.owed)
         account.owed -= kept
         account.received -= free - kept
         return free - kept
 
     def list_programs(self) -> list[str]:
-        """Return the programs that something is free for."""
+        """Return the programs that have unreserved tokens here."""
         return [
             program
             for program, account in self._accounts.items()
@@ -308,7 +303,7 @@
     def settle(self, program: str, turn: str, used: int) -> bool:
         """End a turn that generated ``used`` tokens.
 
-        Return whether anything was reserved for it.
+        Return whether there was a reservation for it.
         """
         account = self._accounts.get(program)
         if account is None:
@@ -318,7 +313,7 @@
         return account.purse.settle(turn, used)
 
     def prune(self) -> None:
-        """Drop the accounts of programs that have gone quiet."""
+        """Drop the accounts of idle programs."""
         limit = self._timers.now() - IDLE_ACCOUNT
         while self._accounts:
             program, account = next(iter(self._accounts.items()))
@@ -327,11 +322,10 @@
             del self._accounts[program]
 
     async def give_back(self, until: float) -> int:
-        """Return what was granted and is not reserved; count the programs.
+        """Return unreserved tokens to the store; return the program count.
 
-        A store that fails meanwhile keeps the rest counted as granted, and so
-        does an account that something else is at work on for too long: the
-        process would outlive the time that its stop may take.
+        If the store fails, or an account stays locked until the deadline, the
+        remaining tokens stay counted as granted.
         """
         returned = 0
         try:
@@ -363,7 +357,7 @@
         until: float,
         extra: int = 0,
     ) -> bool:
-        """Try to get a grant; ``False`` if the known row has no room."""
+        """Request a grant; return ``False`` if the known row has no room."""
         writer, now = self._make_name(), self._timers.wall()
         owed = account.owed
         row = account.row
@@ -383,10 +377,11 @@
     async def _return(
         self, account: accounts.Account, program: str, until: float
     ) -> bool:
-        """Give the free tokens back, by one write.
+        """Return the free tokens to the store in a single write.
 
-        It is not made again on another instance's row: if the first one took
-        effect and its answer was lost, the tokens would be given twice.
+        The write is not retried on a row that another instance has written:
+        if the first attempt took effect and its response was lost, the tokens
+        would be returned twice.
         """
         await self._refresh(account, program, until)
         if account.row is None:
@@ -408,17 +403,17 @@
         until: float,
         added: accounts.Written = accounts.NOTHING,
     ) -> bool:
-        """Write a row if the known one is still there; say if it was.
+        """Write a row if its version is unchanged; return whether it was.
 
-        A write whose answer is lost may take effect: what it adds is taken
-        as soon as the row shows that it did.
+        A write whose response is lost may still take effect. Its tokens are
+        added to the account once a later row shows that it did.
         """
         account.doubted[row.writer] = added
         where = self._locate(program)
         transaction = messages.Transaction(
             ((where, account.version),), ((where, _ENCODER.encode(row)),)
         )
-        # Whatever happens now, the row we know may be the one before.
+        # The known row may be outdated from here on, whatever the outcome.
         account.is_fresh = False
         outcome = await retries.commit(
             self._store, transaction, until, self._timers
@@ -427,15 +422,15 @@
             account.take_row(self._instance, row, outcome.version)
             return True
         self._take(account, program, outcome.rows)
-        # An earlier try whose answer was lost may have written it.
+        # An earlier attempt whose response was lost may have written it.
         return account.row is not None and account.row.writer == row.writer
 
     async def _refresh(
         self, account: accounts.Account, program: str, until: float
     ) -> None:
         where = self._locate(program)
-        # A transaction that changes nothing reads what is committed, where
-        # a plain read may lag behind.
+        # A transaction without changes reads the committed row, whereas a
+        # plain read may return an older one.
         check = messages.Transaction(((where, NEVER_VERSION),))
         outcome = await retries.commit(self._store, check, until, self._timers)
         rows = outcome.rows if isinstance(outcome, messages.Conflict) else ()
--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -1,4 +1,4 @@
-"""The accounts of the limits that have their home at this instance."""
+"""Accounts of the limits that this instance coordinates."""
 
 import asyncio
 import typing
@@ -14,18 +14,19 @@
 from vanillayoke.scheduling import quotas
 
 TABLE = 'limits'
-# Accounts that nobody has used for so long are forgotten. Seconds.
 IDLE_ACCOUNT = 60.0
-# How long a new home waits for the row of the one before. Seconds.
 READ_PATIENCE = 0.3
-# Within this time all instances have told a new home what they have admitted:
-# they look for a change of homes several times a second. Seconds.
+# The time in which all instances have reported to a new coordinator.
 SETTLING = 1.0
 WRITE_PATIENCE = 1.0
 
 
 class Saved(msgspec.Struct, frozen=True, array_like=True):
-    """An account in the store: the wall time, ages in seconds and counts."""
+    """An account in the store.
+
+    ``time`` is the wall time of the write in seconds; ``counts`` holds the
+    ages in seconds at that time and the numbers of requests.
+    """
 
     time: float
     counts: tuple[tuple[float, int], ...]
@@ -36,25 +37,24 @@
 
 
 class _Entry:
-    """An account and what the store knows of it."""
+    """An account and its state in the store."""
 
     def __init__(self, account: quotas.Account) -> None:
         self.account = account
         self.opening: asyncio.Task | None = None
-        # Whether it is known what a former home has written down, and by when
-        # all instances have told the rest.
+        # Whether the row of the former coordinator was read.
         self.is_known = False
+        # When all instances have reported to this coordinator.
         self.settled_at = float('inf')
         self.unsaved = 0
         self.is_saving = False
 
 
 class LimitAccounts:
-    """Keeps accounts for all instances that ask.
+    """Counts and admits requests on behalf of all instances.
 
-    ``find_lost_share`` returns the share of instances that were lost within a
-    window.
-    ``is_leaving`` says that another instance is to be the home.
+    ``find_lost_share`` returns the share of instances lost within a window.
+    ``is_leaving`` returns whether another instance is to be the coordinator.
     """
 
     def __init__(
@@ -82,10 +82,10 @@
         | peer_messages.Unable
         | typing.Coroutine[typing.Any, typing.Any, peer_messages.Standing]
     ):
-        """Take what an instance has used; admit what it asks for.
+        """Record the reported usage and decide on the request, if any.
 
-        An instance that stops sends all to the next home at once: two that
-        admit side by side would admit too much.
+        An instance that is leaving refers all others to the next coordinator
+        at once: two instances that admit concurrently would admit too much.
         """
         if self._is_leaving():
             return peer_messages.Unable(False)
@@ -96,7 +96,7 @@
             self._entries[name] = entry
             self._begin(name, entry)
         elif question.is_moved and self._is_settled(entry):
-            # Another instance has been the home meanwhile.
+            # Another instance has been the coordinator meanwhile.
             self._begin(name, entry)
         self._take(entry, question)
         if entry.opening is not None:
@@ -106,7 +106,7 @@
         return self._decide(entry, question)
 
     def prune(self) -> None:
-        """Forget accounts that nobody has used for a window."""
+        """Drop idle accounts."""
         now = self._timers.now()
         for name, entry in list(self._entries.items()):
             entry.account.window.prune(now)
@@ -176,7 +176,7 @@
     # The store
 
     async def _open(self, name: str, entry: _Entry) -> None:
-        """Take over what a home before this one has written down."""
+        """Load the counts that a former coordinator has saved."""
         try:
             async with asyncio.timeout(READ_PATIENCE):
                 saved = await self._read(name)
@@ -201,7 +201,7 @@
             try:
                 return _DECODER.decode(row.value)
             except msgspec.DecodeError:
-                # Another version's row counts as none.
+                # Written by another software version; ignored.
                 return None
         return None
 
@@ -230,7 +230,7 @@
             await self._store.transact(transaction, WRITE_PATIENCE)
             entry.unsaved -= count
         except store_module.StoreError:
-            # Written again with the next request.
+            # Retried with the next request.
             return
         finally:
             entry.is_saving = False
@@ -251,7 +251,7 @@
 
 
 def read_time(value: bytes) -> float | None:
-    """Return when a row was written; ``None`` if it can't be read."""
+    """Return when a row was written; ``None`` if it can't be decoded."""
     try:
         return _DECODER.decode(value).time
     except msgspec.DecodeError:
--- a/libs/gateway/vanillayoke/gateway/limits.py
+++ b/libs/gateway/vanillayoke/gateway/limits.py
@@ -1,8 +1,9 @@
-"""Admitting requests within the limit of their organisation.
+"""Admission of requests within the limit of their organisation.
 
-Each organisation's limit has a home, the instance with the highest rendezvous
-score, which counts what all instances admit. An instance that knows the limit
-to be far admits at once and tells the home afterwards; else it asks first.
+Each organisation's limit has a coordinator, the instance with the highest
+rendezvous score, which counts what all instances admit. An instance that
+knows usage to be well below the limit admits at once and reports to the
+coordinator afterwards; otherwise it asks first.
 """
 
 import asyncio
@@ -18,31 +19,29 @@
 from vanillayoke.gateway import refusals
 from vanillayoke.scheduling import quotas
 
-# Distinguishes the homes of limits from those of programs.
+# Distinguishes the keys of limits from those of programs.
 PREFIX = 'limit/'
-# How long what was admitted waits to be told. Seconds.
+# How long admitted requests are batched before they are reported.
 TELL_DELAY = 0.25
-# It is told at once where all instances together may have admitted too much
-# meanwhile, if each has admitted as much: this share of what may be lost
-# uncounted. Likewise an instance that knows nothing asks first, unless all may
-# admit one each within this share.
+# The share of the tolerance that all instances together may admit without
+# reporting, assuming that each admits as many requests as this one.
 UNTOLD_SHARE = 1.0 - quotas.SAVED_SHARE
-# For how long it is known that the limit is far. Seconds.
+# How long a response of the coordinator is valid.
 STANDING_LIFETIME = 1.0
-# How many homes are asked, the next one where one is silent, and for how long
-# a silent one is passed over. Seconds.
 MOST_ASKED = 3
+# How long an instance that did not respond is skipped.
 SILENCE = 1.0
-# How many of the best homes are known for each organisation.
+# Highest-ranked instances cached for each organisation.
 MOST_RANKED = 8
+# Retry delay of requests refused because no coordinator can be reached.
 ALONE_PAUSE = 0.25
-# For how long an instance that misses most others leaves limits to these. Cuts
-# are shorter. Seconds.
+# How long an instance cut off from most others assumes that these still have
+# a coordinator.
 LONGEST_APART = 15.0
 
 
 class Admission(typing.NamedTuple):
-    """A request that counts as used, and since when."""
+    """A request counted as used, and the time since it counts."""
 
     organisation: str
     asked: quotas.Asked
@@ -50,7 +49,7 @@
 
 
 class _Entry:
-    """Requests admitted at a moment; ``is_told`` once the home knows."""
+    """Requests admitted at one time, and whether they were reported."""
 
     __slots__ = ('at', 'asked', 'count', 'is_told')
 
@@ -64,7 +63,7 @@
 
 
 class _Usage:
-    """What this instance has admitted of one organisation's requests."""
+    """Requests of one organisation that this instance has admitted."""
 
     def __init__(self) -> None:
         self.entries: collections.deque[_Entry] = collections.deque()
@@ -73,7 +72,7 @@
         self.is_close = False
         self.is_cut_off = False
         self.is_telling = False
-        # When the home last said how the organisation stands.
+        # When the coordinator last responded.
         self.answered_at = float('-inf')
         self.limit = quotas.Limit(0.0, 0.0, 0.0, 0.0)
         self.version = 0
@@ -103,7 +102,10 @@
         return found
 
     def take_untold(self, is_whole: bool) -> list[_Entry]:
-        """Return what to tell the home; it counts as told from now on."""
+        """Return the entries to report and mark them as reported.
+
+        ``is_whole`` includes those reported before.
+        """
         found = []
         for entry in self.entries:
             if is_whole or not entry.is_told:
@@ -113,7 +115,7 @@
 
 
 class Limits:
-    """Admits this instance's requests."""
+    """Admits the requests that arrive at this instance."""
 
     def __init__(
         self,
@@ -129,8 +131,8 @@
         draw: typing.Callable[[], float],
     ) -> None:
         self._instance = instance
-        # A process that starts again under the same name knows nothing of
-        # what the one before has admitted, and must not tell anew for it.
+        # Distinguishes this process from a former one of the same instance,
+        # whose reports it must not replace.
         self._reporter = f'{instance}/{incarnation}'
         self._tolerance = tolerance
         self._window = tolerance.window
@@ -149,7 +151,7 @@
         self._homes: dict[str, list[str]] = {}
 
     def use(self, peers: peers_module.Peers) -> None:
-        """Ask other instances through this from now on."""
+        """Set the connection to other instances."""
         self._peers = peers
 
     async def admit(
@@ -158,10 +160,10 @@
         asked: quotas.Asked,
         until: float,
     ) -> Admission | None:
-        """Count a request as used; ``None`` where there is no limit.
+        """Count a request as used; return ``None`` if there is no limit.
 
-        A request of a program that has begun waits for room until then. Raise
-        a refusal if the limit has none.
+        A request of a program that has begun waits for room until the
+        deadline. Raise ``RefusalError`` if the limit has no room.
         """
         if organisation is None or not organisation.rate:
             return None
@@ -175,14 +177,14 @@
         return Admission(organisation.name, asked, self._timers.now())
 
     def add(self, admission: Admission, count: int) -> None:
-        """Count so many more runs of a request, or -1 if it did not run."""
+        """Count further runs of a request; -1 if it did not run."""
         usage = self._usages.get(admission.organisation)
         if usage is not None:
             usage.add(admission.at, admission.asked, count)
             self._tell_soon(admission.organisation, usage)
 
     def prune(self) -> None:
-        """Forget what has left the window, and tell new homes of the rest."""
+        """Drop what has left the window; report to new coordinators."""
         now = self._timers.now()
         for name, usage in list(self._usages.items()):
             usage.prune(now - self._window)
@@ -216,10 +218,9 @@
         asked: quotas.Asked,
         until: float,
     ) -> None:
-        """Ask until the request is admitted, or could not be in time.
+        """Ask until the request is admitted or can't be before the deadline.
 
-        A program that has begun would be lost with one of its requests, and
-        its callers have few tries.
+        A program that has begun would fail with one of its requests.
         """
         while True:
             answer = await self._send(organisation, usage, asked)
@@ -227,7 +228,7 @@
                 self._admit_alone(usage, asked)
                 return
             if answer.refused is None:
-                # The home has counted it with its answer.
+                # The coordinator has counted the request already.
                 usage.add(self._timers.now(), asked, 1, is_told=True)
                 self._usages[organisation] = usage
                 return
@@ -241,10 +242,10 @@
             await self._timers.sleep(answer.pause)
 
     def _admit_alone(self, usage: _Usage, asked: quotas.Asked) -> None:
-        """Admit an even share of what may be lost uncounted.
+        """Admit this instance's even share of the tolerance.
 
-        No home can be asked, and the limit may be used up. Where the share is
-        less than one request, it is the chance of the first one.
+        No coordinator responds, and the limit may be used up. A share of less
+        than one request is the probability of admitting one.
         """
         count = max(1, len(self._list_members()))
         now = self._timers.now()
@@ -280,7 +281,10 @@
     async def _send(
         self, organisation: str, usage: _Usage, asked: quotas.Asked | None
     ) -> peer_messages.Standing | None:
-        """Tell the home what it does not know; return what it answers."""
+        """Report unreported requests to the coordinator; return its response.
+
+        Return ``None`` if no instance responds.
+        """
         for _ in range(MOST_ASKED):
             home = self._find_home(organisation)
             if home is None:
@@ -293,7 +297,8 @@
                 usage.answered_at = self._timers.now()
                 return answer
             self._silent[home] = self._timers.now()
-            # It may have counted or not: the next one is told all.
+            # It may have counted the requests or not: the next coordinator
+            # gets a complete report.
             usage.home = None
             usage.has_moved = True
         usage.is_cut_off = True
@@ -348,9 +353,10 @@
         )
 
     def _list_members(self) -> typing.Sequence[homes_ranking.HomeMember]:
-        """Return the instances that may be homes.
+        """Return the instances that may be coordinators.
 
-        Where all are told to stop, the best of them stays the home.
+        If all instances are leaving, the one with the highest score remains
+        the coordinator.
         """
         members = self._roster.list_homes() or self._roster.list_reachable()
         if members is not self._members:
@@ -359,10 +365,10 @@
         return members
 
     def _is_apart(self) -> bool:
-        """Say whether the others may have a home that is out of reach.
+        """Return whether others may have a coordinator that is unreachable.
 
-        Only for a while: where most instances were lost for good, those that
-        are left have to count for themselves.
+        Limited in time: if most instances are lost permanently, the remaining
+        ones have to take over.
         """
         now = self._timers.now()
         if not self._is_alone():
@@ -373,10 +379,10 @@
         return now - self._apart_since < LONGEST_APART
 
     def _find_home(self, organisation: str) -> str | None:
-        """Return the best home but for those that were silent just now.
+        """Return the coordinator, skipping unresponsive instances.
 
-        An instance that reaches less than half of the others knows none: on
-        the other side of a cut there is a home for them.
+        Return ``None`` if this instance is cut off from most others: the
+        other side of the network partition has a coordinator of its own.
         """
         if self._is_apart():
             return None
@@ -395,7 +401,7 @@
                 break
         else:
             return None
-        # An instance that reaches no better home is not the home for that:
-        # it may have been cut off from the others.
+        # This instance does not take over for unresponsive instances: it may
+        # be cut off from the others.
         is_stand_in = instance == self._instance and instance != ranked[0]
         return None if is_stand_in else instance
--- a/libs/gateway/vanillayoke/gateway/parts.py
+++ b/libs/gateway/vanillayoke/gateway/parts.py
@@ -1,28 +1,27 @@
-"""Parts of the system's tables.
+"""Partitions of the tables in the store.
 
-The store applies the transactions of one part one after another, and rows of
-many parts at once. A row's part follows from its key alone, so whoever knows
-the key finds it with one read.
+The store applies the transactions of one partition in sequence and those of
+different partitions in parallel. A row's partition follows from its key, so
+that a row is found by its key with one read.
 """
 
 import xxhash
 
-# When the store is a hundred times slower than usual, a part takes a few
-# transactions a second instead of some hundred; this many parts still take
-# what a whole site writes. Each is one more read for sweeping old rows away.
+# More partitions give more throughput when the store is slow, and cost one
+# read each when expired rows are swept.
 PART_COUNT = 256
 
 
 def find_part(key: str) -> str:
-    """Return the part that a row lies in."""
+    """Return the partition of a row."""
     index = xxhash.xxh3_64_intdigest(key.encode()) % PART_COUNT
     return name_part(index)
 
 
 def list_places(key: str, count: int) -> list[str]:
-    """Return the parts that a row may lie in, the usual one first."""
+    """Return the partitions that a row may be in, the preferred one first."""
     seed = xxhash.xxh3_64_intdigest(key.encode())
-    # An odd step never comes back to the same part within so few steps.
+    # An odd step visits each partition once before it repeats.
     step = (seed >> 32) % PART_COUNT | 1
     return [
         name_part((seed + number * step) % PART_COUNT)
@@ -31,5 +30,5 @@
 
 
 def name_part(index: int) -> str:
-    """Return the name of a part."""
+    """Return the name of a partition."""
     return f'{index:02x}'
--- a/libs/gateway/vanillayoke/gateway/retries.py
+++ b/libs/gateway/vanillayoke/gateway/retries.py
@@ -1,15 +1,14 @@
-"""Trying calls to the store again, until when and after which pauses."""
+"""Retries of calls to the store."""
 
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import store as store_module
 
-# Pauses between tries of a write: the first outlasts a short refusal, the
-# longest keeps a returning store from a stampede. Seconds.
 FIRST_PAUSE = 0.02
 LONGEST_PAUSE = 0.4
+# The timeout of an attempt made shortly before the deadline.
 SHORTEST_TRY = 0.02
-# The shortest time that one try waits for its answer. Seconds.
+# The minimum of the timeout derived from the store's response times.
 SHORTEST_PATIENCE = 0.25
 
 
@@ -19,12 +18,12 @@
     until: float,
     timer_service: timers.TimerService,
 ) -> messages.Committed | messages.Conflict:
-    """Apply a transaction whose repetition is harmless, until a time.
+    """Apply an idempotent transaction, with retries until the deadline.
 
-    A try without an answer may take effect later, yet only while its
-    conditions hold; the caller tells its own write in a ``Conflict`` by the
-    value found. Raise the last ``StoreError`` when the time is over or the
-    whole store is out of reach.
+    An attempt without a response may still take effect, but only while its
+    conditions hold; the caller recognises its own write in a ``Conflict`` by
+    the value of the row. Raise the last ``StoreError`` when the deadline
+    passes or the store is unreachable.
     """
     pause = FIRST_PAUSE
     while True:
@@ -42,7 +41,7 @@
 
 
 def find_patience(store: store_module.StoreClient) -> float:
-    """Return how long to wait for one answer of the store."""
+    """Return the timeout of one call to the store, in seconds."""
     return min(
         store_module.LONGEST_PATIENCE,
         max(SHORTEST_PATIENCE, store_module.PATIENCE_TIMES * store.usual_time),
--- a/libs/gateway/vanillayoke/gateway/sweeping.py
+++ b/libs/gateway/vanillayoke/gateway/sweeping.py
@@ -1,7 +1,8 @@
-"""Removing rows that nobody asks for any more, a little at a time.
+"""Incremental removal of expired rows from the store.
 
-Each part of the tables has one instance that sweeps it, the home of the
-part's name. Two that both think so remove the same rows once.
+Each partition of the tables is swept by its coordinator. If two instances
+both regard themselves as such, the conditions of the transactions prevent
+double removal.
 """
 
 import typing
@@ -20,14 +21,12 @@
 from vanillayoke.programs import grants
 from vanillayoke.programs import transcripts
 
-# In this time all parts are swept once. Rows lie for so long at the most
-# beyond their time. Seconds.
+# The time in which all partitions are swept once.
 ROUND = 600.0
-# Rows outlast what the routes promise by this factor and time: clocks
-# differ, and a program may be about to go on. Seconds.
+# Rows are kept longer than the retention of the routes, since clocks differ
+# and a program may be about to continue.
 KEPT_TIMES = 2.0
 KEPT_MARGIN = 60.0
-# The most rows that one call removes.
 MOST_REMOVED = 50
 PATIENCE = 2.0
 
@@ -35,7 +34,7 @@
 
 
 class Sweeper:
-    """Sweeps the parts that are this instance's."""
+    """Sweeps the partitions that this instance coordinates."""
 
     def __init__(
         self,
@@ -53,7 +52,7 @@
         self.removed = 0
 
     async def run(self) -> None:
-        """Sweep part after part until cancelled."""
+        """Sweep one partition after another until cancelled."""
         while True:
             for index in range(parts.PART_COUNT):
                 await self._timers.sleep(ROUND / parts.PART_COUNT)
@@ -69,7 +68,7 @@
             try:
                 await self._sweep(table, part, read_time)
             except store_module.StoreError:
-                # The next round comes by again.
+                # The next sweep tries again.
                 return
 
     async def _sweep(
@@ -102,7 +101,7 @@
 
 
 def read_budget_time(value: bytes) -> float | None:
-    """Return when a budget's row was written; ``None`` if unreadable."""
+    """Return when a row was written; ``None`` if it can't be decoded."""
     try:
         return _BUDGETS.decode(value).time
     except msgspec.DecodeError:
--- a/libs/gateway/vanillayoke/gateway/tenure.py
+++ b/libs/gateway/vanillayoke/gateway/tenure.py
@@ -1,9 +1,9 @@
-"""Whether this instance is sure to have been a program's only home.
+"""Whether this instance has been the only coordinator of a program.
 
-While the store can't be asked, a home may let a program generate a little on
-credit, if no other instance can have done so before. That is so while the
-home has had the program for longer than programs are remembered, without a
-break in which another instance may have stood in for it.
+While the store is unavailable, a coordinator may let a program generate some
+tokens on credit if no other instance can have done so before. That holds once
+it has been the program's coordinator for the retention period, without an
+interruption in which another instance may have replaced it.
 """
 
 import collections
@@ -11,25 +11,23 @@
 
 from vanillayoke.gateway import homes_ranking
 
-# What happened longer ago concerns no program that is still under way: a
-# program that was stopped may come back within a minute. Seconds.
+# Changes older than this affect no running program.
 MEMORY = 120.0
-# A home writes down what it gave on credit within a moment of the store's
-# return. If it dies before, its programs come to their next home within the
-# few seconds that a death takes to be seen. Seconds.
+# How long after a failure of the store a former coordinator may have left
+# unrecorded credit: it covers the detection of that coordinator's failure.
 TROUBLE_MEMORY = 8.0
-# An event loop that was late by so much may have left questions of other
-# instances unanswered, and they then reserve without the home. Seconds.
+# After a longer lag of the event loop, requests of other instances may have
+# timed out, and these reserve elsewhere.
 LONGEST_LAG = 0.1
-# Instances that start together have found one another by then. Seconds.
+# The time in which instances that start together discover one another.
 SETTLING = 3.0
 
 
 class Tenure:
-    """What this instance has seen of homes, itself included.
+    """Tracks interruptions of this instance and changes of membership.
 
-    ``is_first_start`` says that the whole system has just started: there was
-    no home before this one.
+    ``is_first_start`` says that the whole system starts for the first time,
+    so there was no former coordinator.
     """
 
     def __init__(
@@ -37,51 +35,51 @@
     ) -> None:
         self._instance = instance
         self._since = float('-inf') if is_first_start else now
-        # An instance that has just started has seen no trouble: if there was
-        # some before, its predecessors wrote down what they gave as soon as
-        # it ended.
+        # Failures of the store before the start need not be known: the former
+        # coordinators recorded their credit as soon as the store recovered.
         self._trouble_at = float('-inf')
         self._members: frozenset[str] = frozenset()
         self._removed: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
         self._ticked_at: float | None = None
-        # By how much the time of day was ahead of the steady clock.
+        # The wall time minus the monotonic time, at the last tick.
         self._wall_ahead: float | None = None
         self._incarnation: int | None = None
         self._has_begun = False
         self._joined_at = float('inf')
 
     def note_program(self) -> None:
-        """Note that there are programs.
+        """Record that there are programs.
 
-        Instances that start together take one another for gone until all
-        run; nobody stands in for a home before there is a program.
+        Instances that start together regard one another as failed until all
+        run; before the first program that has no consequences.
         """
         self._has_begun = True
 
     def note_joined(self, now: float) -> None:
-        """Note that this instance serves from now on."""
+        """Record that this instance has started to serve."""
         self._joined_at = now
 
     def note_trouble(self, now: float) -> None:
-        """Note that the store failed a call or was slow."""
+        """Record that a call of the store failed or was slow."""
         self._trouble_at = now
 
     def may_have_been_trouble(self, now: float) -> bool:
-        """Say whether a home may have had to give credit of late."""
+        """Return whether a coordinator may recently have given credit."""
         return now - self._trouble_at < TROUBLE_MEMORY
 
     def note_break(self, now: float) -> None:
-        """Note that others may have stood in for this instance until now."""
+        """Record that others may have replaced this instance until now."""
         if self._has_begun:
             self._since = now
 
     def tick(self, now: float, wall: float, interval: float) -> None:
-        """Note that the event loop runs; called every ``interval``.
+        """Record that the event loop runs; called every ``interval`` seconds.
 
-        ``wall`` is the time of day: it goes on while a machine is suspended,
-        which the steady clock does not. A step of it does no harm here.
+        ``wall`` is the wall time, which advances while the machine is
+        suspended; the monotonic clock does not. A step of the wall clock can
+        only cause a needless interruption.
         """
         self._check_wall(now, wall, interval)
         before, self._ticked_at = self._ticked_at, now
@@ -97,16 +95,16 @@
             self.note_break(now)
 
     def note_incarnation(self, incarnation: int, now: float) -> None:
-        """Note this instance's incarnation among the members.
+        """Record this instance's incarnation in the membership.
 
-        A new one means that others had taken this instance for gone.
+        A new one means that others had regarded this instance as failed.
         """
         if self._incarnation not in (None, incarnation):
             self.note_break(now)
         self._incarnation = incarnation
 
     def note_members(self, members: typing.Iterable[str], now: float) -> None:
-        """Note the instances that may be homes now."""
+        """Record the instances that may currently be coordinators."""
         found = frozenset(members)
         if found == self._members:
             return
@@ -123,12 +121,12 @@
     def covers(
         self, program: str, now: float, wall: float, interval: float
     ) -> bool:
-        """Say whether nobody else can have been the program's home."""
+        """Return whether no other instance can have been coordinator."""
         self._check_wall(now, wall, interval)
         if self._ticked_at is None or now - self._since < MEMORY:
             return False
         if now - self._ticked_at > interval + LONGEST_LAG:
-            # Just back from a freeze: others have not told yet.
+            # The process has just resumed and has no recent membership view.
             return False
         candidates = {self._instance, *self._members, *self._removed}
         return homes_ranking.find_first(program, candidates) == self._instance
--- a/libs/programs/vanillayoke/programs/grants.py
+++ b/libs/programs/vanillayoke/programs/grants.py
@@ -1,38 +1,33 @@
-"""Token budgets split into grants, so that they hold over any failure.
+"""Token budgets split into grants, so that they hold despite failures.
 
-The store holds for each program how much of its budget has been granted to
-instances. An instance lets a program generate only what it was granted, and
-reserves the most of a turn before the turn starts. A grant that dies with
-its instance stays counted: tokens are never given twice.
+The store records for each program how much of its budget has been granted to
+instances. An instance lets a program generate only granted tokens, and
+reserves the maximum of a turn before the turn starts. A grant that is lost
+with its instance stays counted, so tokens are never granted twice.
 """
 
 import typing
 
 import msgspec
 
-# The share of a whole budget that one grant takes. What an instance was
-# granted dies with it, so this is what a program loses at the most; most
-# programs use less than half of their budget and get by with two grants.
+# The share of the budget that one grant takes; a program loses at most this
+# share when an instance fails.
 GRANT_SHARE = 0.25
-# The share of a whole budget that a home may let a program generate while
-# the store can't be asked, at least one turn: as much as one grant, so that
-# what dies with a home stays of one size.
+# The share of the budget that a coordinator may give on credit while the
+# store is unavailable; at least one turn.
 CREDIT_SHARE = 0.25
-# How many holders a row names. A program has one home at a time; while many
-# instances start, some five of a hundred are its best one in turn.
 MOST_HOLDERS = 16
 
 
 class BudgetRow(msgspec.Struct, frozen=True, array_like=True):
     """How much of a program's budget has been granted, in tokens.
 
-    ``writer`` names the write that made this row, so that a writer whose
-    answer was lost finds out whether its write took effect. ``time`` is the
-    wall time of the write in seconds, for sweeping old rows away.
-    ``holders`` are the instances that were granted tokens, the last one at
-    the end, each with the writer of its last row: what they do not need any
-    more may still lie there, and one whose answer was lost finds its row out
-    also under that of another.
+    ``writer`` identifies the write that made this row, so that an instance
+    that got no response finds out whether its write took effect. ``time`` is
+    the wall time of the write in seconds, for the removal of expired rows.
+    ``holders`` lists the instances that were granted tokens, the latest one
+    last, each with the id of its last write. They may still hold unused
+    tokens, and each recognises its own write after others have written.
     """
 
     budget: int
@@ -42,14 +37,14 @@
     holders: tuple[tuple[str, str], ...] = ()
 
     def add_holder(self, instance: str) -> 'BudgetRow':
-        """Return the row with an instance as the last holder."""
+        """Return the row with an instance as the latest holder."""
         others = [one for one in self.holders if one[0] != instance]
         holders = (*others[1 - MOST_HOLDERS :], (instance, self.writer))
         return msgspec.structs.replace(self, holders=holders)
 
 
 class Purse:
-    """What one instance may still let one program generate."""
+    """Tokens that one instance may still let one program generate."""
 
     def __init__(self) -> None:
         self.free = 0
@@ -57,28 +52,28 @@
 
     @property
     def reserved(self) -> int:
-        """The tokens reserved for turns under way."""
+        """The tokens reserved for turns in progress."""
         return sum(self._reserved.values())
 
     @property
     def turns(self) -> int:
-        """The number of turns under way."""
+        """The number of turns in progress."""
         return len(self._reserved)
 
     def add(self, tokens: int) -> None:
-        """Take over a grant."""
+        """Add granted tokens."""
         self.free += tokens
 
     def take_free(self) -> int:
-        """Give up all that is not reserved, to return it."""
+        """Remove all unreserved tokens; return their number."""
         tokens = self.free
         self.free = 0
         return tokens
 
     def reserve(self, turn: str, tokens: int) -> bool:
-        """Reserve the most that a turn may generate; say if it fits.
+        """Reserve the maximum of a turn; return whether it fits.
 
-        Asking again for the same turn changes nothing.
+        Repeated calls for the same turn change nothing.
         """
         if turn in self._reserved:
             return True
@@ -89,9 +84,9 @@
         return True
 
     def settle(self, turn: str, used: int) -> bool:
-        """End a turn that generated ``used`` tokens; the rest is free.
+        """End a turn that generated ``used`` tokens and free the others.
 
-        Return whether anything was reserved for it.
+        Return whether there was a reservation for it.
         """
         tokens = self._reserved.pop(turn, None)
         if tokens is None:
@@ -115,11 +110,11 @@
     time: float,
     extra: int = 0,
 ) -> Grant | None:
-    """Return the grant that covers ``need``; ``None`` if it does not fit.
+    """Return a grant of at least ``need`` tokens; ``None`` if too few remain.
 
-    ``extra`` tokens beyond the budget may be granted where a former home may
-    have died with a grant. Small budgets hold one or two turns: what is lost
-    with a home would end their programs though they used little.
+    Up to ``extra`` tokens beyond the budget may be granted if a former
+    coordinator may have failed with a grant: programs with a budget of one or
+    two turns would otherwise end having used little.
     """
     granted = 0 if row is None else row.granted
     left = budget - granted
@@ -132,10 +127,10 @@
 
 
 def plan_credit(budget: int, known: int, owed: int, need: int) -> int:
-    """Return the tokens to give on credit for ``need`` more; 0 for none.
+    """Return the tokens to give on credit: ``need``, or 0 if too many.
 
-    ``known`` tokens of the budget are granted as far as the home knows, and
-    ``owed`` ones were given on credit before.
+    ``known`` is the number of tokens known to be granted, and ``owed`` the
+    number already given on credit.
     """
     limit = max(need, int(budget * CREDIT_SHARE))
     left = min(limit - owed, budget - known - owed)
@@ -143,10 +138,10 @@
 
 
 def find_charge(budget: int, most: int) -> int:
-    """Return what a new home counts as granted, for its predecessor.
+    """Return the tokens that a new coordinator charges to a program.
 
-    The predecessor may have died with tokens that it gave on credit; this is
-    the most that it can have given.
+    This is the maximum that a failed predecessor can have given on credit
+    without recording it.
     """
     return max(most, int(budget * CREDIT_SHARE))
 
@@ -154,6 +149,6 @@
 def plan_return(
     row: BudgetRow, tokens: int, writer: str, time: float
 ) -> BudgetRow:
-    """Return the row that takes an unused grant back."""
+    """Return the row with the unused tokens of a grant returned."""
     granted = row.granted - tokens
     return BudgetRow(row.budget, granted, writer, time, row.holders)
