--- a/libs/bench/vanillayoke/bench/tables.py
+++ b/libs/bench/vanillayoke/bench/tables.py
@@ -15,9 +15,9 @@
 
 from vanillayoke.core import timers
 from vanillayoke.gateway import catalog
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import members
 from vanillayoke.gateway import messages
+from vanillayoke.gateway import rendezvous
 from vanillayoke.testing import loops
 
 # Tokens come every 28 ms at the size that this is designed for. A reading
@@ -101,7 +101,8 @@
     bound = LONGEST_HOLD if rows <= MOST_INSTANCES else None
     yield Figure('first reading of instances', rows, taken, bound)
     taken = _measure(
-        lambda: homes_ranking.find_home('program', known.list_homes()), ROUNDS
+        lambda: rendezvous.find_coordinator('program', known.list_homes()),
+        ROUNDS,
     )
     yield Figure('home of a program', rows, taken, None)
 
--- a/libs/gateway/vanillayoke/gateway/accounts.py
+++ b/libs/gateway/vanillayoke/gateway/budget_accounts.py
@@ -38,25 +38,25 @@
 Decision = Refused | TakenOver
 
 
-class Written(typing.NamedTuple):
+class WriteEffect(typing.NamedTuple):
     """Change to an account once its write is known to have taken effect."""
 
     tokens: int
     owed: int
 
 
-NOTHING = Written(0, 0)
+NO_EFFECT = WriteEffect(0, 0)
 
 
 class Account:
     """This instance's part in one program's budget."""
 
     def __init__(self) -> None:
-        self.purse = grants.Purse()
+        self.allotment = grants.Allotment()
         self.lock = asyncio.Lock()
         self.row: grants.BudgetRow | None = None
         self.version = 0
-        self.is_fresh = False
+        self.is_current = False
         self.is_spent = False
         self.used_at = 0.0
         # Tokens given on credit that are not yet recorded in the row.
@@ -67,33 +67,33 @@
         # Tokens charged for credit that former coordinators may have given.
         self.charged = 0
         # Writes of this instance with an unknown outcome, by write id.
-        self.doubted: dict[str, Written] = {}
+        self.unconfirmed: dict[str, WriteEffect] = {}
         # Set when the next turn ends, and then replaced by a new event.
-        self.settlement = asyncio.Event()
+        self.turn_ended = asyncio.Event()
 
     @property
-    def known(self) -> int:
+    def granted(self) -> int:
         """The tokens granted according to the last known row."""
         return 0 if self.row is None else self.row.granted
 
     @property
-    def known_at_most(self) -> int:
+    def max_granted(self) -> int:
         """The upper bound of the tokens that the row may have granted.
 
         Unconfirmed writes expect the same version, so at most one of them
         has taken effect.
         """
-        doubted = (added.tokens for added in self.doubted.values())
-        return self.known + max(doubted, default=0)
+        unconfirmed = (added.tokens for added in self.unconfirmed.values())
+        return self.granted + max(unconfirmed, default=0)
 
-    def claim(self, writer: str) -> None:
+    def confirm(self, write_id: str) -> None:
         """Apply the effect of one of this instance's writes, once."""
-        added = self.doubted.pop(writer, NOTHING)
+        added = self.unconfirmed.pop(write_id, NO_EFFECT)
         self.owed -= added.owed
         self.received += added.tokens
-        self.purse.add(added.tokens)
+        self.allotment.add(added.tokens)
 
-    def take_row(
+    def update_row(
         self, instance: str, row: grants.BudgetRow | None, version: int
     ) -> None:
         """Update the account from the row in the store.
@@ -104,11 +104,11 @@
         is_newer = version != self.version
         self.row = row
         self.version = version
-        self.is_fresh = True
+        self.is_current = True
         if row is None or not is_newer:
             return
-        self.claim(row.writer)
-        for holder, writer in row.holders:
+        self.confirm(row.write_id)
+        for holder, write_id in row.holders:
             if holder == instance:
-                self.claim(writer)
-        self.doubted.clear()
+                self.confirm(write_id)
+        self.unconfirmed.clear()
--- a/libs/gateway/vanillayoke/gateway/calls.py
+++ b/libs/gateway/vanillayoke/gateway/calls.py
@@ -121,7 +121,7 @@
                 await self._plain.serve(progress, responder)
         finally:
             if admission is not None and progress.runs != 1:
-                limits.add(admission, progress.runs - 1)
+                limits.adjust(admission, progress.runs - 1)
 
     def _end_with(
         self,
--- a/libs/gateway/vanillayoke/gateway/home_calls.py
+++ b/libs/gateway/vanillayoke/gateway/coordinator_client.py
@@ -3,9 +3,9 @@
 import typing
 
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
+from vanillayoke.gateway import rendezvous
 
 # The second instance in rank is asked if the first does not respond or is
 # leaving.
@@ -14,27 +14,27 @@
 SILENCE = 1.0
 
 
-class HomeCalls:
+class CoordinatorClient:
     """Sends requests to coordinators for the turns of this instance."""
 
     def __init__(
         self,
-        roster: homes_ranking.Roster,
+        membership: rendezvous.MembershipView,
         timer_service: timers.TimerService,
         spawn: typing.Callable[[typing.Coroutine], None],
     ) -> None:
-        self._roster = roster
+        self._membership = membership
         self._timers = timer_service
         self._spawn = spawn
         self._peers: peers_module.Peers | None = None
         # When a request last timed out, by instance.
         self._silent: dict[str, float] = {}
 
-    def use(self, peers: peers_module.Peers) -> None:
+    def set_peers(self, peers: peers_module.Peers) -> None:
         """Set the connection to other instances."""
         self._peers = peers
 
-    def list_homes(self, program: str) -> list[homes_ranking.HomeMember]:
+    def list_coordinators(self, program: str) -> list[rendezvous.Peer]:
         """Return the instances to ask, leaving out unresponsive ones.
 
         All instances that can't reach the coordinator ask the same next one:
@@ -42,19 +42,22 @@
         small for a turn. If all instances are leaving, the one with the
         highest score remains the coordinator.
         """
-        members = self._roster.list_homes() or self._roster.list_reachable()
+        members = (
+            self._membership.list_eligible()
+            or self._membership.list_reachable()
+        )
         self.prune()
         if self._silent:
             members = [
                 one for one in members if one.instance not in self._silent
             ]
-        return homes_ranking.list_best(program, members, MOST_ASKED)
+        return rendezvous.list_highest(program, members, MOST_ASKED)
 
     async def reserve(
         self,
-        home: homes_ranking.HomeMember,
+        home: rendezvous.Peer,
         question: peer_messages.Reserve,
-        until: float,
+        deadline: float,
     ) -> peer_messages.Answer | None:
         """Request a reservation; settle it if no final response arrives.
 
@@ -63,7 +66,7 @@
         """
         answer = peer_messages.Pending()
         try:
-            answer = await self._peers.ask(home.address, question, until)
+            answer = await self._peers.ask(home.address, question, deadline)
             if answer is None:
                 self._silent[home.instance] = self._timers.now()
         finally:
--- a/libs/gateway/vanillayoke/gateway/tenure.py
+++ b/libs/gateway/vanillayoke/gateway/exclusivity.py
@@ -9,7 +9,7 @@
 import collections
 import typing
 
-from vanillayoke.gateway import homes_ranking
+from vanillayoke.gateway import rendezvous
 
 # Changes older than this affect no running program.
 MEMORY = 120.0
@@ -20,10 +20,10 @@
 # timed out, and these reserve elsewhere.
 LONGEST_LAG = 0.1
 # The time in which instances that start together discover one another.
-SETTLING = 3.0
+SETTLING_SECONDS = 3.0
 
 
-class Tenure:
+class Exclusivity:
     """Tracks interruptions of this instance and changes of membership.
 
     ``is_first_start`` says that the whole system starts for the first time,
@@ -49,7 +49,7 @@
         self._has_begun = False
         self._joined_at = float('inf')
 
-    def note_program(self) -> None:
+    def record_program(self) -> None:
         """Record that there are programs.
 
         Instances that start together regard one another as failed until all
@@ -57,19 +57,19 @@
         """
         self._has_begun = True
 
-    def note_joined(self, now: float) -> None:
+    def record_joined(self, now: float) -> None:
         """Record that this instance has started to serve."""
         self._joined_at = now
 
-    def note_trouble(self, now: float) -> None:
+    def record_store_failure(self, now: float) -> None:
         """Record that a call of the store failed or was slow."""
         self._trouble_at = now
 
-    def may_have_been_trouble(self, now: float) -> bool:
+    def had_recent_store_failure(self, now: float) -> bool:
         """Return whether a coordinator may recently have given credit."""
         return now - self._trouble_at < TROUBLE_MEMORY
 
-    def note_break(self, now: float) -> None:
+    def record_interruption(self, now: float) -> None:
         """Record that others may have replaced this instance until now."""
         if self._has_begun:
             self._since = now
@@ -84,26 +84,28 @@
         self._check_wall(now, wall, interval)
         before, self._ticked_at = self._ticked_at, now
         self._wall_ahead = wall - now
-        if now - self._joined_at > SETTLING:
+        if now - self._joined_at > SETTLING_SECONDS:
             self._has_begun = True
         if before is not None and now - before > interval + LONGEST_LAG:
-            self.note_break(now)
+            self.record_interruption(now)
 
     def _check_wall(self, now: float, wall: float, interval: float) -> None:
         ahead = self._wall_ahead
         if ahead is not None and wall - now > ahead + interval + LONGEST_LAG:
-            self.note_break(now)
+            self.record_interruption(now)
 
-    def note_incarnation(self, incarnation: int, now: float) -> None:
+    def update_incarnation(self, incarnation: int, now: float) -> None:
         """Record this instance's incarnation in the membership.
 
         A new one means that others had regarded this instance as failed.
         """
         if self._incarnation not in (None, incarnation):
-            self.note_break(now)
+            self.record_interruption(now)
         self._incarnation = incarnation
 
-    def note_members(self, members: typing.Iterable[str], now: float) -> None:
+    def update_members(
+        self, members: typing.Iterable[str], now: float
+    ) -> None:
         """Record the instances that may currently be coordinators."""
         found = frozenset(members)
         if found == self._members:
@@ -118,7 +120,7 @@
                 break
             del self._removed[name]
 
-    def covers(
+    def is_exclusive(
         self, program: str, now: float, wall: float, interval: float
     ) -> bool:
         """Return whether no other instance can have been coordinator."""
@@ -129,4 +131,4 @@
             # The process has just resumed and has no recent membership view.
             return False
         candidates = {self._instance, *self._members, *self._removed}
-        return homes_ranking.find_first(program, candidates) == self._instance
+        return rendezvous.find_highest(program, candidates) == self._instance
--- a/libs/gateway/vanillayoke/gateway/front.py
+++ b/libs/gateway/vanillayoke/gateway/front.py
@@ -14,10 +14,9 @@
 from vanillayoke.gateway import dialect as dialect_module
 from vanillayoke.gateway import directory
 from vanillayoke.gateway import endpoints
+from vanillayoke.gateway import exclusivity as exclusivity_module
 from vanillayoke.gateway import followed
 from vanillayoke.gateway import histories
-from vanillayoke.gateway import homes as homes_module
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import limits as limits_module
@@ -27,11 +26,12 @@
 from vanillayoke.gateway import notes
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
+from vanillayoke.gateway import rendezvous
+from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.gateway import scouting
 from vanillayoke.gateway import shared
 from vanillayoke.gateway import store as store_module
 from vanillayoke.gateway import sweeping
-from vanillayoke.gateway import tenure as tenure_module
 from vanillayoke.gateway import verdict_news
 from vanillayoke.gateway import version_news
 from vanillayoke.scheduling import occupancy
@@ -135,7 +135,9 @@
         self._followed.start(self._spawn)
         self._spawn(self._join())
         self._upkeep = self._timers.call_every(UPKEEP_INTERVAL, self._tidy)
-        self._ticks = self._timers.call_every(homes_module.TICK, self._tick)
+        self._ticks = self._timers.call_every(
+            reservations_module.TICK_INTERVAL_SECONDS, self._tick
+        )
         self._telling = self._version_news.start()
 
     async def stop(self) -> None:
@@ -146,8 +148,8 @@
         self._log.write(log_events.DRAIN_STARTED, reason='told to stop')
         self._front_server.drain()
         self._members.leave()
-        self._homes.is_leaving = True
-        await self._homes.hand_over()
+        self._reservations.is_leaving = True
+        await self._reservations.hand_over()
         settled = began + SETTLING
         while self._timers.now() < end:
             is_settled = self._timers.now() >= settled
@@ -156,8 +158,8 @@
             await self._timers.sleep(0.05)
         for http_server, _ in self._listen:
             http_server.close()
-        await self._homes.hand_over()
-        await self._ledger.give_back(end)
+        await self._reservations.hand_over()
+        await self._ledger.return_grants(end)
         self._members.depart()
         seconds = round(self._timers.now() - began, 2)
         self._log.write(log_events.DRAIN_ENDED, seconds=seconds)
@@ -218,22 +220,22 @@
             front=settings.front,
             peer=self._members_address,
         )
-        self._tenure = tenure_module.Tenure(
+        self._exclusivity = exclusivity_module.Exclusivity(
             settings.instance, self._began, settings.is_first_start
         )
-        roster = homes_ranking.Roster(
+        roster = rendezvous.MembershipView(
             lambda: self._members.list_homes(),
             lambda: self._members.list_live_homes(),
             lambda: self._members.list_reachable(),
             lambda: self._members.list_failed(),
         )
-        self._homes = homes_module.Homes(
+        self._reservations = reservations_module.Reservations(
             settings.instance,
             self._ledger,
             roster,
             self._timers,
             self._spawn,
-            self._tenure,
+            self._exclusivity,
             self._notes.note_credit,
         )
         self._scouts = scouting.Scouts(
@@ -260,7 +262,9 @@
             self._timers,
             self._spawn,
             lambda: self._members.find_lost_share(tolerance.window),
-            lambda: self._homes.is_leaving and bool(roster.list_homes()),
+            lambda: (
+                self._reservations.is_leaving and bool(roster.list_eligible())
+            ),
         )
         self._limits = limits_module.Limits(
             settings.instance,
@@ -284,8 +288,8 @@
             incarnation,
         )
         self._version_news.use(self._peers)
-        self._limits.use(self._peers)
-        self._homes.use(self._peers)
+        self._limits.set_peers(self._peers)
+        self._reservations.set_peers(self._peers)
         self._scouts.use(self._peers)
         self._verdict_news.use(self._peers)
         self._members = members_module.Members(
@@ -308,7 +312,7 @@
             self._view,
             self._pool,
             self._store,
-            self._homes,
+            self._reservations,
             self._scouts,
             self._histories,
             self._log,
@@ -347,8 +351,8 @@
             case peer_messages.Count():
                 return self._scouts.answer(question)
             case peer_messages.Usage():
-                return self._limit_accounts.answer(question)
-        return self._homes.answer(question)
+                return self._limit_accounts.handle_request(question)
+        return self._reservations.handle_request(question)
 
     def _list_relays(self) -> list[str]:
         me = self.settings.instance
@@ -364,7 +368,7 @@
         """Become known to the others once there is something to serve."""
         await self._followed.wait()
         self._members.start()
-        self._tenure.note_joined(self._timers.now())
+        self._exclusivity.record_joined(self._timers.now())
         self._apply_limits()
         ms = round((self._timers.now() - self._began) * 1000)
         self._log.write(log_events.GATEWAY_READY, ms=ms)
@@ -380,10 +384,12 @@
     def _tick(self) -> None:
         """Notice what may have made another instance stand in for this."""
         now = self._timers.now()
-        self._tenure.tick(now, self._timers.wall(), homes_module.TICK)
-        self._tenure.note_incarnation(self._members.incarnation, now)
+        self._exclusivity.tick(
+            now, self._timers.wall(), reservations_module.TICK_INTERVAL_SECONDS
+        )
+        self._exclusivity.update_incarnation(self._members.incarnation, now)
         homes = self._members.list_homes()
-        self._tenure.note_members((one.instance for one in homes), now)
+        self._exclusivity.update_members((one.instance for one in homes), now)
 
     def _tidy(self) -> None:
         now = self._timers.now()
@@ -392,7 +398,7 @@
         self._apply_limits()
         self._pool.prune()
         self._store.prune()
-        self._homes.prune()
+        self._reservations.prune()
         self._limits.prune()
         self._limit_accounts.prune()
         self._view.forget(self._catalog.names)
@@ -445,14 +451,17 @@
 
     def _note_store_call(self, call: str, outcome: str, taken: float) -> None:
         self._notes.note_store_call(call, outcome, taken)
-        is_slow = call != 'follow' and taken > homes_module.CREDIT_PATIENCE
+        is_slow = (
+            call != 'follow'
+            and taken > reservations_module.CREDIT_TIMEOUT_SECONDS
+        )
         if is_slow or outcome not in ('answered', 'relayed'):
-            self._tenure.note_trouble(self._timers.now())
+            self._exclusivity.record_store_failure(self._timers.now())
 
     def _note_store(self, is_back: bool) -> None:
         if is_back:
             self._notes.note_store_regained()
-            self._homes.record_credit()
+            self._reservations.record_credit()
         else:
             self._notes.note_store_lost(self._store.usual_time)
 
--- a/libs/gateway/vanillayoke/gateway/histories.py
+++ b/libs/gateway/vanillayoke/gateway/histories.py
@@ -5,7 +5,7 @@
 
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import parts
+from vanillayoke.gateway import partitions
 from vanillayoke.gateway import retries
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import transcripts
@@ -107,22 +107,22 @@
         pause. Raise the last ``StoreError`` when the time is over or, unless
         ``is_patient``, when the whole store is out of reach.
         """
-        places = parts.list_places(turn, PLACES)
-        pause = retries.FIRST_PAUSE
+        places = partitions.list_candidates(turn, PLACES)
+        pause = retries.INITIAL_BACKOFF_SECONDS
         while True:
             for part in sorted(places, key=self._store.is_suspect):
                 left = until - self._timers.now()
-                patience = min(left, retries.find_patience(self._store))
+                patience = min(left, retries.compute_timeout(self._store))
                 try:
                     return await work(
-                        part, max(retries.SHORTEST_TRY, patience)
+                        part, max(retries.MIN_ATTEMPT_SECONDS, patience)
                     )
                 except store_module.StoreError as error:
                     failure = error
-            pause = min(retries.LONGEST_PAUSE, pause * 2)
+            pause = min(retries.MAX_BACKOFF_SECONDS, pause * 2)
             left = until - self._timers.now()
             is_hopeless = self._store.is_closed and not is_patient
-            if is_hopeless or left <= retries.SHORTEST_TRY:
+            if is_hopeless or left <= retries.MIN_ATTEMPT_SECONDS:
                 raise failure
             await self._store.wait_open(min(pause, left))
 
--- a/libs/gateway/vanillayoke/gateway/ledger.py
+++ b/libs/gateway/vanillayoke/gateway/ledger.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from vanillayoke.core import timers
-from vanillayoke.gateway import accounts
+from vanillayoke.gateway import budget_accounts
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import parts
+from vanillayoke.gateway import partitions
 from vanillayoke.gateway import retries
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import grants
@@ -18,9 +18,9 @@
 TABLE = 'budgets'
 # Accounts of programs idle for longer are dropped; the tokens left in them
 # stay counted as granted.
-IDLE_ACCOUNT = 120.0
+ACCOUNT_IDLE_SECONDS = 120.0
 # Consecutive conflicts on a program's row before the caller gets an error.
-MOST_CONFLICTS = 20
+MAX_CONFLICTS = 20
 # No row ever has this version: expecting it returns the current row.
 NEVER_VERSION = 2**53 - 1
 # How long a turn that does not fit waits for the program's other turns to
@@ -50,31 +50,31 @@
         store: store_module.StoreClient,
         timer_service: timers.TimerService,
         make_name: typing.Callable[[], str],
-        on_decision: typing.Callable[[accounts.Decision], None],
+        on_decision: typing.Callable[[budget_accounts.Decision], None],
     ) -> None:
         self._instance = instance
         self._store = store
         self._timers = timer_service
         self._make_name = make_name
         self._on_decision = on_decision
-        self._accounts: collections.OrderedDict[str, accounts.Account] = (
-            collections.OrderedDict()
-        )
+        self._accounts: collections.OrderedDict[
+            str, budget_accounts.Account
+        ] = collections.OrderedDict()
 
     @property
-    def is_closed(self) -> bool:
+    def is_store_unreachable(self) -> bool:
         """Whether the store can't be reached directly or through a relay."""
         return self._store.is_closed
 
     @property
-    def is_away(self) -> bool:
+    def is_store_unavailable(self) -> bool:
         """Whether the store does not respond to this instance."""
         return self._store.is_away
 
-    def reserve_now(self, program: str, turn: str, need: int) -> bool:
+    def try_reserve(self, program: str, turn: str, need: int) -> bool:
         """Reserve from tokens already granted; return whether they suffice."""
         account = self._accounts.get(program)
-        return account is not None and account.purse.reserve(turn, need)
+        return account is not None and account.allotment.reserve(turn, need)
 
     async def reserve(
         self,
@@ -82,7 +82,7 @@
         budget: int,
         turn: str,
         need: int,
-        until: float,
+        deadline: float,
         extra: int = 0,
     ) -> Outcome:
         """Reserve the maximum number of tokens that a turn may generate.
@@ -91,53 +91,55 @@
         ``StoreError`` if the store can't be reached before the deadline.
         """
         account = self._open(program)
-        patience = min(until, self._timers.now() + SETTLEMENT_PATIENCE)
+        patience = min(deadline, self._timers.now() + SETTLEMENT_PATIENCE)
         while True:
-            settlement = account.settlement
+            turn_ended = account.turn_ended
             async with account.lock:
                 outcome = await self._reserve(
-                    account, program, budget, turn, need, until, extra
+                    account, program, budget, turn, need, deadline, extra
                 )
-            if outcome is Outcome.GRANTED or not account.purse.reserved:
+            if outcome is Outcome.GRANTED or not account.allotment.reserved:
                 return outcome
-            if not await self._wait_for(settlement, patience):
+            if not await self._wait_for(turn_ended, patience):
                 return outcome
 
     async def _reserve(
         self,
-        account: accounts.Account,
+        account: budget_accounts.Account,
         program: str,
         budget: int,
         turn: str,
         need: int,
-        until: float,
+        deadline: float,
         extra: int,
     ) -> Outcome:
-        for _ in range(MOST_CONFLICTS):
-            if account.purse.reserve(turn, need):
+        for _ in range(MAX_CONFLICTS):
+            if account.allotment.reserve(turn, need):
                 return Outcome.GRANTED
-            missing = need - account.purse.free
+            missing = need - account.allotment.free
             if await self._grow(
-                account, program, budget, missing, until, extra
+                account, program, budget, missing, deadline, extra
             ):
                 continue
-            if account.is_fresh:
+            if account.is_current:
                 return Outcome.SPENT
-            await self._refresh(account, program, until)
+            await self._refresh(account, program, deadline)
         raise store_module.StoreRefusedError('too many conflicts')
 
-    async def _wait_for(self, settlement: asyncio.Event, until: float) -> bool:
+    async def _wait_for(
+        self, turn_ended: asyncio.Event, deadline: float
+    ) -> bool:
         """Wait for a turn to end; return whether one did in time.
 
         A turn reserves the maximum that it may generate and usually uses
         less, so tokens become free when another turn is settled.
         """
-        left = until - self._timers.now()
+        left = deadline - self._timers.now()
         if left <= 0:
             return False
         try:
             async with asyncio.timeout(left):
-                await settlement.wait()
+                await turn_ended.wait()
         except TimeoutError:
             return False
         return True
@@ -149,43 +151,43 @@
             return ()
         return account.row.holders
 
-    def is_in_doubt(self, program: str) -> bool:
+    def has_unconfirmed_writes(self, program: str) -> bool:
         """Return whether the outcome of a write to the row is unknown."""
         account = self._accounts.get(program)
-        return account is not None and bool(account.doubted)
+        return account is not None and bool(account.unconfirmed)
 
-    async def clear_doubt(self, program: str) -> None:
+    async def confirm_writes(self, program: str) -> None:
         """Find out which writes of this instance took effect."""
         account = self._open(program)
-        until = self._timers.now() + DOUBT_PATIENCE
+        deadline = self._timers.now() + DOUBT_PATIENCE
         async with account.lock:
-            await self._refresh(account, program, until)
+            await self._refresh(account, program, deadline)
 
-    def note_refused(
+    def report_refusal(
         self, program: str, budget: int, turn: str, need: int
     ) -> None:
         """Report the state of the account that a turn was refused by."""
         account = self._open(program)
-        row, purse = account.row, account.purse
+        row, allotment = account.row, account.allotment
         age = 0.0 if row is None else self._timers.wall() - row.time
         self._on_decision(
-            accounts.Refused(
+            budget_accounts.Refused(
                 program,
                 turn,
                 budget,
                 need,
-                account.known,
+                account.granted,
                 account.received,
-                purse.free,
-                purse.reserved,
-                purse.turns,
+                allotment.free,
+                allotment.reserved,
+                allotment.turn_count,
                 account.owed,
                 account.charged,
                 age,
             )
         )
 
-    def give_credit(
+    def reserve_on_credit(
         self, program: str, budget: int, turn: str, need: int
     ) -> int:
         """Reserve on credit, for a coordinator known to be the only one.
@@ -193,21 +195,23 @@
         Return the tokens given; 0 if the credit limit does not allow them.
         """
         account = self._open(program)
-        missing = max(0, need - account.purse.free)
+        missing = max(0, need - account.allotment.free)
         tokens = grants.plan_credit(
-            budget, account.known_at_most, account.owed, missing
+            budget, account.max_granted, account.owed, missing
         )
         if tokens < missing or account.is_spent:
             return 0
         account.owed += tokens
         account.budget = budget
-        account.purse.add(tokens)
-        return tokens if account.purse.reserve(turn, need) else 0
+        account.allotment.add(tokens)
+        return tokens if account.allotment.reserve(turn, need) else 0
 
-    def charge(self, program: str, budget: int, most: int) -> None:
+    def charge_former_credit(
+        self, program: str, budget: int, most: int
+    ) -> None:
         """Charge what a former coordinator may have given on credit."""
         account = self._open(program)
-        tokens = grants.find_charge(budget, most)
+        tokens = grants.compute_charge(budget, most)
         account.owed += tokens
         account.charged += tokens
         account.budget = budget
@@ -223,32 +227,32 @@
     async def record_credit(self, program: str) -> None:
         """Record in the store what was given on credit."""
         account = self._open(program)
-        until = self._timers.now() + TOP_UP_PATIENCE
+        deadline = self._timers.now() + TOP_UP_PATIENCE
         async with account.lock:
-            for _ in range(MOST_CONFLICTS):
+            for _ in range(MAX_CONFLICTS):
                 owed = account.owed
                 if not owed:
                     return
                 row = grants.BudgetRow(
                     account.budget,
-                    account.known + owed,
+                    account.granted + owed,
                     self._make_name(),
                     self._timers.wall(),
                     self.list_holders(program),
                 )
-                added = accounts.Written(0, owed)
+                added = budget_accounts.WriteEffect(0, owed)
                 try:
-                    await self._write(account, program, row, until, added)
+                    await self._write(account, program, row, deadline, added)
                 except store_module.StoreError:
                     # The next maintenance run tries again.
                     return
 
-    def needs_more(self, program: str, need: int) -> bool:
+    def needs_top_up(self, program: str, need: int) -> bool:
         """Return whether another turn of this size would not fit."""
         account = self._accounts.get(program)
         return (
             account is not None
-            and account.purse.free < need
+            and account.allotment.free < need
             and not account.lock.locked()
             and not account.is_spent
         )
@@ -256,16 +260,16 @@
     async def top_up(self, program: str, budget: int, need: int) -> None:
         """Get the next grant before a turn has to wait for it."""
         account = self._open(program)
-        until = self._timers.now() + TOP_UP_PATIENCE
+        deadline = self._timers.now() + TOP_UP_PATIENCE
         async with account.lock:
-            missing = need - account.purse.free
+            missing = need - account.allotment.free
             if missing <= 0:
                 return
             try:
                 if not await self._grow(
-                    account, program, budget, missing, until
+                    account, program, budget, missing, deadline
                 ):
-                    account.is_spent = account.is_fresh
+                    account.is_spent = account.is_current
             except store_module.StoreError:
                 # The next turn requests the grant itself.
                 return
@@ -278,26 +282,26 @@
         """Add tokens that were transferred from another instance."""
         account = self._open(program)
         account.received += tokens
-        account.purse.add(tokens)
+        account.allotment.add(tokens)
 
     def withdraw(self, program: str) -> int:
         """Remove the unreserved tokens, to transfer them; return the count."""
         account = self._accounts.get(program)
         if account is None:
             return 0
-        free = account.purse.take_free()
+        free = account.allotment.withdraw_free()
         # Tokens given on credit are paid back instead of being transferred.
         kept = min(free, account.owed)
         account.owed -= kept
         account.received -= free - kept
         return free - kept
 
-    def list_programs(self) -> list[str]:
+    def list_with_free_tokens(self) -> list[str]:
         """Return the programs that have unreserved tokens here."""
         return [
             program
             for program, account in self._accounts.items()
-            if account.purse.free > 0
+            if account.allotment.free > 0
         ]
 
     def settle(self, program: str, turn: str, used: int) -> bool:
@@ -308,20 +312,20 @@
         account = self._accounts.get(program)
         if account is None:
             return False
-        account.settlement.set()
-        account.settlement = asyncio.Event()
-        return account.purse.settle(turn, used)
+        account.turn_ended.set()
+        account.turn_ended = asyncio.Event()
+        return account.allotment.settle(turn, used)
 
     def prune(self) -> None:
         """Drop the accounts of idle programs."""
-        limit = self._timers.now() - IDLE_ACCOUNT
+        limit = self._timers.now() - ACCOUNT_IDLE_SECONDS
         while self._accounts:
             program, account = next(iter(self._accounts.items()))
             if account.used_at > limit or account.lock.locked():
                 return
             del self._accounts[program]
 
-    async def give_back(self, until: float) -> int:
+    async def return_grants(self, deadline: float) -> int:
         """Return unreserved tokens to the store; return the program count.
 
         If the store fails, or an account stays locked until the deadline, the
@@ -329,53 +333,55 @@
         """
         returned = 0
         try:
-            async with asyncio.timeout(max(0.0, until - self._timers.now())):
+            async with asyncio.timeout(
+                max(0.0, deadline - self._timers.now())
+            ):
                 for program, account in list(self._accounts.items()):
-                    if account.purse.free > 0:
+                    if account.allotment.free > 0:
                         async with account.lock:
                             returned += await self._return(
-                                account, program, until
+                                account, program, deadline
                             )
         except (TimeoutError, store_module.StoreError):
             return returned
         return returned
 
-    def _open(self, program: str) -> accounts.Account:
+    def _open(self, program: str) -> budget_accounts.Account:
         account = self._accounts.get(program)
         if account is None:
-            account = self._accounts[program] = accounts.Account()
+            account = self._accounts[program] = budget_accounts.Account()
         account.used_at = self._timers.now()
         self._accounts.move_to_end(program)
         return account
 
     async def _grow(
         self,
-        account: accounts.Account,
+        account: budget_accounts.Account,
         program: str,
         budget: int,
         missing: int,
-        until: float,
+        deadline: float,
         extra: int = 0,
     ) -> bool:
         """Request a grant; return ``False`` if the known row has no room."""
-        writer, now = self._make_name(), self._timers.wall()
+        write_id, now = self._make_name(), self._timers.wall()
         owed = account.owed
         row = account.row
         if owed:
             holders = self.list_holders(program)
             row = grants.BudgetRow(
-                budget, account.known + owed, writer, now, holders
+                budget, account.granted + owed, write_id, now, holders
             )
-        grant = grants.plan_grant(row, budget, missing, writer, now, extra)
+        grant = grants.plan_grant(row, budget, missing, write_id, now, extra)
         if grant is None:
             return False
         row = grant.row.add_holder(self._instance)
-        added = accounts.Written(grant.tokens, owed)
-        await self._write(account, program, row, until, added)
+        added = budget_accounts.WriteEffect(grant.tokens, owed)
+        await self._write(account, program, row, deadline, added)
         return True
 
     async def _return(
-        self, account: accounts.Account, program: str, until: float
+        self, account: budget_accounts.Account, program: str, deadline: float
     ) -> bool:
         """Return the free tokens to the store in a single write.
 
@@ -383,62 +389,64 @@
         if the first attempt took effect and its response was lost, the tokens
         would be returned twice.
         """
-        await self._refresh(account, program, until)
+        await self._refresh(account, program, deadline)
         if account.row is None:
             return False
-        tokens = account.purse.take_free()
+        tokens = account.allotment.withdraw_free()
         row = grants.plan_return(
             account.row,
             tokens - account.owed,
             self._make_name(),
             self._timers.wall(),
         )
-        return await self._write(account, program, row, until)
+        return await self._write(account, program, row, deadline)
 
     async def _write(
         self,
-        account: accounts.Account,
+        account: budget_accounts.Account,
         program: str,
         row: grants.BudgetRow,
-        until: float,
-        added: accounts.Written = accounts.NOTHING,
+        deadline: float,
+        added: budget_accounts.WriteEffect = budget_accounts.NO_EFFECT,
     ) -> bool:
         """Write a row if its version is unchanged; return whether it was.
 
         A write whose response is lost may still take effect. Its tokens are
         added to the account once a later row shows that it did.
         """
-        account.doubted[row.writer] = added
+        account.unconfirmed[row.write_id] = added
         where = self._locate(program)
         transaction = messages.Transaction(
             ((where, account.version),), ((where, _ENCODER.encode(row)),)
         )
         # The known row may be outdated from here on, whatever the outcome.
-        account.is_fresh = False
+        account.is_current = False
         outcome = await retries.commit(
-            self._store, transaction, until, self._timers
+            self._store, transaction, deadline, self._timers
         )
         if isinstance(outcome, messages.Committed):
-            account.take_row(self._instance, row, outcome.version)
+            account.update_row(self._instance, row, outcome.version)
             return True
         self._take(account, program, outcome.rows)
         # An earlier attempt whose response was lost may have written it.
-        return account.row is not None and account.row.writer == row.writer
+        return account.row is not None and account.row.write_id == row.write_id
 
     async def _refresh(
-        self, account: accounts.Account, program: str, until: float
+        self, account: budget_accounts.Account, program: str, deadline: float
     ) -> None:
         where = self._locate(program)
         # A transaction without changes reads the committed row, whereas a
         # plain read may return an older one.
         check = messages.Transaction(((where, NEVER_VERSION),))
-        outcome = await retries.commit(self._store, check, until, self._timers)
+        outcome = await retries.commit(
+            self._store, check, deadline, self._timers
+        )
         rows = outcome.rows if isinstance(outcome, messages.Conflict) else ()
         self._take(account, program, rows)
 
     def _take(
         self,
-        account: accounts.Account,
+        account: budget_accounts.Account,
         program: str,
         rows: tuple[messages.Row, ...],
     ) -> None:
@@ -451,12 +459,14 @@
                     f'budget row {row.where.key}: {error}'
                 ) from error
             version = row.version
-        account.take_row(self._instance, decoded, version)
+        account.update_row(self._instance, decoded, version)
         if decoded is not None and not account.received:
-            taken = accounts.TakenOver(
+            taken = budget_accounts.TakenOver(
                 program, decoded.granted, decoded.budget
             )
             self._on_decision(taken)
 
     def _locate(self, program: str) -> messages.RowKey:
-        return messages.RowKey(TABLE, parts.find_part(program), program)
+        return messages.RowKey(
+            TABLE, partitions.find_partition(program), program
+        )
--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -8,20 +8,20 @@
 
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import parts
+from vanillayoke.gateway import partitions
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import store as store_module
 from vanillayoke.scheduling import quotas
 
 TABLE = 'limits'
-IDLE_ACCOUNT = 60.0
-READ_PATIENCE = 0.3
+ACCOUNT_IDLE_SECONDS = 60.0
+READ_TIMEOUT_SECONDS = 0.3
 # The time in which all instances have reported to a new coordinator.
-SETTLING = 1.0
-WRITE_PATIENCE = 1.0
+SETTLING_SECONDS = 1.0
+WRITE_TIMEOUT_SECONDS = 1.0
 
 
-class Saved(msgspec.Struct, frozen=True, array_like=True):
+class SavedAccount(msgspec.Struct, frozen=True, array_like=True):
     """An account in the store.
 
     ``time`` is the wall time of the write in seconds; ``counts`` holds the
@@ -33,7 +33,7 @@
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_DECODER = msgspec.msgpack.Decoder(Saved)
+_DECODER = msgspec.msgpack.Decoder(SavedAccount)
 
 
 class _Entry:
@@ -75,7 +75,7 @@
         self._needs = quotas.Needs()
         self._entries: dict[str, _Entry] = {}
 
-    def answer(
+    def handle_request(
         self, question: peer_messages.Usage
     ) -> (
         peer_messages.Standing
@@ -110,7 +110,7 @@
         now = self._timers.now()
         for name, entry in list(self._entries.items()):
             entry.account.window.prune(now)
-            if now - entry.account.seen > IDLE_ACCOUNT:
+            if now - entry.account.seen > ACCOUNT_IDLE_SECONDS:
                 del self._entries[name]
 
     def _begin(self, name: str, entry: _Entry) -> None:
@@ -120,7 +120,7 @@
         )
 
     def _is_settled(self, entry: _Entry) -> bool:
-        is_over = self._timers.now() > entry.settled_at + SETTLING
+        is_over = self._timers.now() > entry.settled_at + SETTLING_SECONDS
         return entry.opening is None and is_over
 
     def _take(self, entry: _Entry, question: peer_messages.Usage) -> None:
@@ -178,7 +178,7 @@
     async def _open(self, name: str, entry: _Entry) -> None:
         """Load the counts that a former coordinator has saved."""
         try:
-            async with asyncio.timeout(READ_PATIENCE):
+            async with asyncio.timeout(READ_TIMEOUT_SECONDS):
                 saved = await self._read(name)
                 entry.is_known = True
         except (TimeoutError, store_module.StoreError):
@@ -190,12 +190,16 @@
                 (now - age - one, count) for one, count in saved.counts
             )
         entry.opening = None
-        entry.settled_at = now + SETTLING
+        entry.settled_at = now + SETTLING_SECONDS
 
-    async def _read(self, name: str) -> Saved | None:
+    async def _read(self, name: str) -> SavedAccount | None:
         where = _locate(name)
         page = await self._store.read(
-            TABLE, where.part, READ_PATIENCE, where.key, where.key + '\0'
+            TABLE,
+            where.part,
+            READ_TIMEOUT_SECONDS,
+            where.key,
+            where.key + '\0',
         )
         for row in page.rows:
             try:
@@ -216,7 +220,7 @@
     async def _save(self, name: str, entry: _Entry) -> None:
         now = self._timers.now()
         count = entry.unsaved
-        saved = Saved(
+        saved = SavedAccount(
             self._timers.wall(),
             tuple(
                 (now - at, count)
@@ -227,7 +231,7 @@
             (), ((_locate(name), _ENCODER.encode(saved)),)
         )
         try:
-            await self._store.transact(transaction, WRITE_PATIENCE)
+            await self._store.transact(transaction, WRITE_TIMEOUT_SECONDS)
             entry.unsaved -= count
         except store_module.StoreError:
             # Retried with the next request.
@@ -238,7 +242,7 @@
 
 def _locate(organisation: str) -> messages.RowKey:
     key = f'{xxhash.xxh3_128_intdigest(organisation.encode()):032x}'
-    return messages.RowKey(TABLE, parts.find_part(key), key)
+    return messages.RowKey(TABLE, partitions.find_partition(key), key)
 
 
 def _describe(found: quotas.Refused, account: quotas.Account) -> str:
--- a/libs/gateway/vanillayoke/gateway/limits.py
+++ b/libs/gateway/vanillayoke/gateway/limits.py
@@ -11,16 +11,16 @@
 import typing
 
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import refusals
+from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import quotas
 
 # Distinguishes the keys of limits from those of programs.
-PREFIX = 'limit/'
+KEY_PREFIX = 'limit/'
 # How long admitted requests are batched before they are reported.
 TELL_DELAY = 0.25
 # The share of the tolerance that all instances together may admit without
@@ -44,7 +44,7 @@
     """A request counted as used, and the time since it counts."""
 
     organisation: str
-    asked: quotas.Asked
+    request: quotas.Asked
     at: float
 
 
@@ -122,7 +122,7 @@
         instance: str,
         incarnation: int,
         tolerance: quotas.Tolerance,
-        roster: homes_ranking.Roster,
+        membership: rendezvous.MembershipView,
         accounts: limit_accounts.LimitAccounts,
         timer_service: timers.TimerService,
         spawn: typing.Callable[[typing.Coroutine], None],
@@ -136,7 +136,7 @@
         self._reporter = f'{instance}/{incarnation}'
         self._tolerance = tolerance
         self._window = tolerance.window
-        self._roster = roster
+        self._membership = membership
         self._accounts = accounts
         self._timers = timer_service
         self._spawn = spawn
@@ -147,10 +147,10 @@
         self._peers: peers_module.Peers | None = None
         self._usages: dict[str, _Usage] = {}
         self._silent: dict[str, float] = {}
-        self._members: typing.Sequence[homes_ranking.HomeMember] = ()
+        self._members: typing.Sequence[rendezvous.Peer] = ()
         self._homes: dict[str, list[str]] = {}
 
-    def use(self, peers: peers_module.Peers) -> None:
+    def set_peers(self, peers: peers_module.Peers) -> None:
         """Set the connection to other instances."""
         self._peers = peers
 
@@ -158,7 +158,7 @@
         self,
         organisation: messages.Organisation | None,
         asked: quotas.Asked,
-        until: float,
+        deadline: float,
     ) -> Admission | None:
         """Count a request as used; return ``None`` if there is no limit.
 
@@ -170,17 +170,19 @@
         usage = self._open(organisation)
         now = self._timers.now()
         if self._must_ask(usage, now):
-            await self._wait_for_room(organisation.name, usage, asked, until)
+            await self._wait_for_room(
+                organisation.name, usage, asked, deadline
+            )
         else:
             usage.add(now, asked, 1)
             self._tell_in_time(organisation.name, usage)
         return Admission(organisation.name, asked, self._timers.now())
 
-    def add(self, admission: Admission, count: int) -> None:
+    def adjust(self, admission: Admission, count: int) -> None:
         """Count further runs of a request; -1 if it did not run."""
         usage = self._usages.get(admission.organisation)
         if usage is not None:
-            usage.add(admission.at, admission.asked, count)
+            usage.add(admission.at, admission.request, count)
             self._tell_soon(admission.organisation, usage)
 
     def prune(self) -> None:
@@ -216,7 +218,7 @@
         organisation: str,
         usage: _Usage,
         asked: quotas.Asked,
-        until: float,
+        deadline: float,
     ) -> None:
         """Ask until the request is admitted or can't be before the deadline.
 
@@ -233,7 +235,7 @@
                 self._usages[organisation] = usage
                 return
             now = self._timers.now()
-            if answer.is_new or now + answer.pause > until:
+            if answer.is_new or now + answer.pause > deadline:
                 raise refusals.RefusalError(
                     refusals.Reason.OVER_LIMIT,
                     f'{answer.refused}; counted by {usage.home}',
@@ -339,26 +341,29 @@
         self, home: str, question: peer_messages.Usage
     ) -> peer_messages.Answer | None:
         if home == self._instance:
-            answer = self._accounts.answer(question)
+            answer = self._accounts.handle_request(question)
             if asyncio.iscoroutine(answer):
                 answer = await answer
             return answer
         address = self._find_address(home)
-        until = self._timers.now() + limit_accounts.READ_PATIENCE
-        return await self._peers.ask(address, question, until)
+        deadline = self._timers.now() + limit_accounts.READ_TIMEOUT_SECONDS
+        return await self._peers.ask(address, question, deadline)
 
     def _find_address(self, home: str) -> str:
         return next(
             (one.address for one in self._members if one.instance == home), ''
         )
 
-    def _list_members(self) -> typing.Sequence[homes_ranking.HomeMember]:
+    def _list_members(self) -> typing.Sequence[rendezvous.Peer]:
         """Return the instances that may be coordinators.
 
         If all instances are leaving, the one with the highest score remains
         the coordinator.
         """
-        members = self._roster.list_homes() or self._roster.list_reachable()
+        members = (
+            self._membership.list_eligible()
+            or self._membership.list_reachable()
+        )
         if members is not self._members:
             self._members = members
             self._homes.clear()
@@ -392,8 +397,8 @@
         members = self._list_members()
         ranked = self._homes.get(organisation)
         if ranked is None:
-            best = homes_ranking.list_best(
-                PREFIX + organisation, members, MOST_RANKED
+            best = rendezvous.list_highest(
+                KEY_PREFIX + organisation, members, MOST_RANKED
             )
             ranked = self._homes[organisation] = [one.instance for one in best]
         for instance in ranked:
--- a/libs/gateway/vanillayoke/gateway/members.py
+++ b/libs/gateway/vanillayoke/gateway/members.py
@@ -10,8 +10,8 @@
 from vanillayoke.cluster import membership_table
 from vanillayoke.cluster import messages as cluster_messages
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import messages
+from vanillayoke.gateway import rendezvous
 from vanillayoke.settings import process
 
 TABLE = 'instances'
@@ -79,7 +79,7 @@
         self.is_leaving = False
         # Made when asked for: while many instances start, one changes after
         # another, and nobody asks between.
-        self._homes: tuple[homes_ranking.HomeMember, ...] | None = None
+        self._homes: tuple[rendezvous.Peer, ...] | None = None
 
     def start(self) -> None:
         """Begin to probe."""
@@ -118,7 +118,7 @@
         alive = cluster_messages.State.ALIVE
         return [one for one in self.list_members() if one.state is alive]
 
-    def list_homes(self) -> typing.Sequence[homes_ranking.HomeMember]:
+    def list_homes(self) -> typing.Sequence[rendezvous.Peer]:
         """Return the instances that may keep programs.
 
         It is the same sequence for as long as nothing changes.
@@ -131,11 +131,11 @@
             )
         return self._homes
 
-    def list_live_homes(self) -> list[homes_ranking.HomeMember]:
+    def list_live_homes(self) -> list[rendezvous.Peer]:
         """Return the instances that keep programs and were heard of."""
         return [_make_home(one) for one in self.list_live()]
 
-    def list_reachable(self) -> list[homes_ranking.HomeMember]:
+    def list_reachable(self) -> list[rendezvous.Peer]:
         """Return the instances that answer, or may do so in a moment.
 
         Those that are leaving are no homes any more, and still hold what
@@ -147,7 +147,7 @@
             if one.state in _REACHABLE
         ]
 
-    def list_failed(self) -> list[homes_ranking.HomeMember]:
+    def list_failed(self) -> list[rendezvous.Peer]:
         """Return the instances that did not answer and may yet come back."""
         failed = cluster_messages.State.FAILED
         return [
@@ -248,7 +248,5 @@
     return member.state is cluster_messages.State.ALIVE
 
 
-def _make_home(member: cluster_messages.Member) -> homes_ranking.HomeMember:
-    return homes_ranking.HomeMember(
-        member.instance, member.peer_address, member.zone
-    )
+def _make_home(member: cluster_messages.Member) -> rendezvous.Peer:
+    return rendezvous.Peer(member.instance, member.peer_address, member.zone)
--- a/libs/gateway/vanillayoke/gateway/notes.py
+++ b/libs/gateway/vanillayoke/gateway/notes.py
@@ -3,7 +3,7 @@
 from vanillayoke.cluster import messages as cluster_messages
 from vanillayoke.core import events as log_events
 from vanillayoke.core import logs
-from vanillayoke.gateway import accounts
+from vanillayoke.gateway import budget_accounts
 from vanillayoke.gateway import measures as measures_module
 from vanillayoke.scheduling import verdicts
 
@@ -49,17 +49,17 @@
             tokens=tokens,
         )
 
-    def note_budget(self, decision: accounts.Decision) -> None:
+    def note_budget(self, decision: budget_accounts.Decision) -> None:
         """Note what a program's home decided on its budget."""
         match decision:
-            case accounts.TakenOver(program, granted, budget):
+            case budget_accounts.TakenOver(program, granted, budget):
                 self._log.write(
                     log_events.BUDGET_TAKEN_OVER,
                     program=program,
                     granted=granted,
                     budget=budget,
                 )
-            case accounts.Refused():
+            case budget_accounts.Refused():
                 self._log.write(
                     log_events.BUDGET_REFUSED,
                     program=decision.program,
--- a/libs/gateway/vanillayoke/gateway/parts.py
+++ b/libs/gateway/vanillayoke/gateway/partitions.py
@@ -9,26 +9,26 @@
 
 # More partitions give more throughput when the store is slow, and cost one
 # read each when expired rows are swept.
-PART_COUNT = 256
+PARTITION_COUNT = 256
 
 
-def find_part(key: str) -> str:
+def find_partition(key: str) -> str:
     """Return the partition of a row."""
-    index = xxhash.xxh3_64_intdigest(key.encode()) % PART_COUNT
-    return name_part(index)
+    index = xxhash.xxh3_64_intdigest(key.encode()) % PARTITION_COUNT
+    return name_partition(index)
 
 
-def list_places(key: str, count: int) -> list[str]:
+def list_candidates(key: str, count: int) -> list[str]:
     """Return the partitions that a row may be in, the preferred one first."""
     seed = xxhash.xxh3_64_intdigest(key.encode())
     # An odd step visits each partition once before it repeats.
-    step = (seed >> 32) % PART_COUNT | 1
+    step = (seed >> 32) % PARTITION_COUNT | 1
     return [
-        name_part((seed + number * step) % PART_COUNT)
+        name_partition((seed + number * step) % PARTITION_COUNT)
         for number in range(count)
     ]
 
 
-def name_part(index: int) -> str:
+def name_partition(index: int) -> str:
     """Return the name of a partition."""
     return f'{index:02x}'
--- a/libs/gateway/vanillayoke/gateway/clocks.py
+++ b/libs/gateway/vanillayoke/gateway/program_tracking.py
@@ -10,7 +10,7 @@
 KEPT = 120.0
 
 
-class Clocks:
+class ProgramTracker:
     """Tracks the programs that this instance coordinates."""
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self._targets: dict[str, dict[str, str]] = {}
         self._shares: dict[str, outlook.IdleShare] = {}
 
-    def arrive(
+    def start_turn(
         self,
         program: str,
         session: str,
@@ -41,7 +41,7 @@
         self._clocks.move_to_end(program)
         return clock.estimate(session, now, self._find_share(route).value)
 
-    def lose(
+    def record_delay(
         self, program: str, session: str, seconds: float, now: float
     ) -> None:
         """Record the time that a turn lost to waiting."""
@@ -49,7 +49,7 @@
         if clock is not None:
             clock.lose(session, seconds, now)
 
-    def place(self, program: str, session: str, target: str) -> None:
+    def record_target(self, program: str, session: str, target: str) -> None:
         """Record the target at which a turn was completed."""
         if program in self._clocks:
             known = self._targets.setdefault(program, {})
--- a/libs/gateway/vanillayoke/gateway/homes_ranking.py
+++ b/libs/gateway/vanillayoke/gateway/rendezvous.py
@@ -10,7 +10,7 @@
 import xxhash
 
 
-class HomeMember(typing.NamedTuple):
+class Peer(typing.NamedTuple):
     """An instance and the address at which it receives datagrams."""
 
     instance: str
@@ -18,10 +18,10 @@
     zone: str = ''
 
 
-ListMembers = typing.Callable[[], typing.Sequence[HomeMember]]
+ListPeers = typing.Callable[[], typing.Sequence[Peer]]
 
 
-class Roster(typing.NamedTuple):
+class MembershipView(typing.NamedTuple):
     """Lists the instances by their state, as this instance sees them.
 
     Candidates may become coordinators. Live ones are the candidates that have
@@ -29,10 +29,10 @@
     that are leaving are no candidates any more. Failed ones do not respond.
     """
 
-    list_homes: ListMembers
-    list_live: ListMembers
-    list_reachable: ListMembers
-    list_failed: ListMembers
+    list_eligible: ListPeers
+    list_live_eligible: ListPeers
+    list_reachable: ListPeers
+    list_failed: ListPeers
 
 
 @functools.lru_cache(maxsize=4096)
@@ -40,33 +40,33 @@
     return xxhash.xxh3_64_intdigest(instance.encode())
 
 
-def find_score(program: str, instance: str) -> int:
+def compute_score(program: str, instance: str) -> int:
     """Return the score of an instance for a key."""
     return xxhash.xxh3_64_intdigest(program.encode(), _seed(instance))
 
 
-def find_first(program: str, instances: typing.Iterable[str]) -> str | None:
+def find_highest(program: str, instances: typing.Iterable[str]) -> str | None:
     """Return the name with the highest score."""
     return max(
-        instances, key=lambda one: find_score(program, one), default=None
+        instances, key=lambda one: compute_score(program, one), default=None
     )
 
 
-def find_home(
-    program: str, members: typing.Sequence[HomeMember]
-) -> HomeMember | None:
+def find_coordinator(
+    program: str, members: typing.Sequence[Peer]
+) -> Peer | None:
     """Return the instance with the highest score, the key's coordinator."""
     return max(
         members,
-        key=lambda one: find_score(program, one.instance),
+        key=lambda one: compute_score(program, one.instance),
         default=None,
     )
 
 
-def list_best(
-    program: str, members: typing.Iterable[HomeMember], count: int
-) -> list[HomeMember]:
+def list_highest(
+    program: str, members: typing.Iterable[Peer], count: int
+) -> list[Peer]:
     """Return the instances with the highest scores in descending order."""
     return heapq.nlargest(
-        count, members, key=lambda one: find_score(program, one.instance)
+        count, members, key=lambda one: compute_score(program, one.instance)
     )
--- a/libs/gateway/vanillayoke/gateway/homes.py
+++ b/libs/gateway/vanillayoke/gateway/reservations.py
@@ -13,42 +13,43 @@
 
 from vanillayoke.core import timers
 from vanillayoke.gateway import background
-from vanillayoke.gateway import clocks
-from vanillayoke.gateway import holders
-from vanillayoke.gateway import home_calls
-from vanillayoke.gateway import homes_ranking
+from vanillayoke.gateway import coordinator_client
+from vanillayoke.gateway import exclusivity as exclusivity_module
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
+from vanillayoke.gateway import program_tracking
+from vanillayoke.gateway import rendezvous
 from vanillayoke.gateway import store as store_module
-from vanillayoke.gateway import tenure as tenure_module
+from vanillayoke.gateway import token_transfers
 from vanillayoke.scheduling import outlook
 
 # How long the store may take on behalf of another instance.
 HOME_PATIENCE = 2.5
 # How long after joining this instance asks the former coordinators of
 # programs for their tokens.
-NEWCOMER = 20.0
+JOIN_PERIOD_SECONDS = 20.0
 # How long a turn waits for a grant before it proceeds on credit.
-CREDIT_PATIENCE = 0.1
+CREDIT_TIMEOUT_SECONDS = 0.1
 # Programs whose credit is recorded concurrently.
 MOST_CREDITS = 10
 # Rounds of collecting tokens from other instances for one turn.
 MOST_COLLECTIONS = 4
 MOST_REMEMBERED = 2000
 # Interval of the check that the event loop is running.
-TICK = 0.25
+TICK_INTERVAL_SECONDS = 0.25
 
 
 class Reservation(typing.NamedTuple):
     """The outcome of a reservation.
 
-    ``keeper`` is the address of the instance that made it, '' for this one.
+    ``coordinator`` is the address of the instance that made it, '' for this
+    one.
     ``target`` is the target that caches most of the prompt, if known.
     """
 
     is_granted: bool
-    keeper: str
+    coordinator: str
     slack: outlook.Slack | None
     target: str | None = None
 
@@ -63,36 +64,38 @@
         known.popitem(last=False)
 
 
-class Homes:
+class Reservations:
     """Reserves and settles tokens at the coordinator of each program."""
 
     def __init__(
         self,
         instance: str,
         ledger: ledger_module.Ledger,
-        roster: homes_ranking.Roster,
+        membership: rendezvous.MembershipView,
         timer_service: timers.TimerService,
         spawn: typing.Callable[[typing.Coroutine], None],
-        tenure: tenure_module.Tenure,
+        exclusivity: exclusivity_module.Exclusivity,
         on_credit: typing.Callable[[str, str, int], None],
     ) -> None:
         self._instance = instance
-        self._tenure = tenure
+        self._exclusivity = exclusivity
         self._on_credit = on_credit
         self._ledger = ledger
-        self._roster = roster
+        self._membership = membership
         self._timers = timer_service
         self._spawn = spawn
         self._began = timer_service.now()
-        self._clocks = clocks.Clocks()
-        self._holders = holders.Holders(
+        self._program_tracker = program_tracking.ProgramTracker()
+        self._transfers = token_transfers.TokenTransfers(
             instance,
             ledger,
-            roster,
+            membership,
             timer_service,
             spawn,
         )
-        self._calls = home_calls.HomeCalls(roster, timer_service, spawn)
+        self._calls = coordinator_client.CoordinatorClient(
+            membership, timer_service, spawn
+        )
         self.is_leaving = False
         # Turns that have ended, by program. A request to reserve for one may
         # still arrive, late or duplicated, and would never be settled.
@@ -110,10 +113,10 @@
             collections.OrderedDict()
         )
 
-    def use(self, peers: peers_module.Peers) -> None:
+    def set_peers(self, peers: peers_module.Peers) -> None:
         """Set the connection to other instances."""
-        self._calls.use(peers)
-        self._holders.use(peers)
+        self._calls.set_peers(peers)
+        self._transfers.set_peers(peers)
 
     async def hand_over(self) -> int:
         """Transfer all free tokens to the programs' next coordinators.
@@ -121,18 +124,18 @@
         Called when this instance stops; makes no call to the store. Return
         the number of programs.
         """
-        return await self._holders.hand_over()
+        return await self._transfers.hand_over()
 
-    def reserve_here(
+    def reserve_locally(
         self, question: peer_messages.Reserve
     ) -> Reservation | None:
         """Reserve from this instance's own tokens; ``None`` if too few.
 
         They were granted to it as the program's coordinator or in its place.
         """
-        self._tenure.note_program()
+        self._exclusivity.record_program()
         self._charge(question)
-        if not self._ledger.reserve_now(
+        if not self._ledger.try_reserve(
             question.program, question.turn, question.need
         ):
             return None
@@ -140,19 +143,19 @@
         return self._make_reservation(question)
 
     async def reserve(
-        self, question: peer_messages.Reserve, until: float
+        self, question: peer_messages.Reserve, deadline: float
     ) -> Reservation:
         """Reserve the maximum of a turn at its program's coordinator.
 
         Raise ``StoreError`` if the outcome can't be determined.
         """
-        found = self.reserve_here(question)
+        found = self.reserve_locally(question)
         if found is not None:
             return found
-        for home in self._calls.list_homes(question.program):
+        for home in self._calls.list_coordinators(question.program):
             if home.instance == self._instance:
                 break
-            answer = await self._calls.reserve(home, question, until)
+            answer = await self._calls.reserve(home, question, deadline)
             match answer:
                 case peer_messages.Granted(slack, target):
                     return Reservation(True, home.address, slack, target)
@@ -164,19 +167,21 @@
                     )
                 case peer_messages.Pending():
                     break
-        outcome = await self._reserve_apart(question, until)
+        outcome = await self._reserve_apart(question, deadline)
         is_granted = outcome is ledger_module.Outcome.GRANTED
         return self._make_reservation(question)._replace(is_granted=is_granted)
 
     async def _reserve_apart(
-        self, question: peer_messages.Reserve, until: float
+        self, question: peer_messages.Reserve, deadline: float
     ) -> ledger_module.Outcome:
         """Reserve in a task that continues if the caller is cancelled.
 
         The row may already be written then, and its grant must be accounted
         for.
         """
-        work = asyncio.ensure_future(self._reserve_from_store(question, until))
+        work = asyncio.ensure_future(
+            self._reserve_from_store(question, deadline)
+        )
         try:
             return await asyncio.shield(work)
         except asyncio.CancelledError:
@@ -207,23 +212,23 @@
         """Run maintenance: drop idle state and record credit."""
         self._ledger.prune()
         self.record_credit()
-        self._clocks.prune(self._timers.now())
+        self._program_tracker.prune(self._timers.now())
 
     def record_credit(self) -> None:
         """Record in the store what was given on credit, if it is available.
 
         Unrecorded credit is lost if this instance fails.
         """
-        if self._ledger.is_away:
+        if self._ledger.is_store_unavailable:
             return
         for program in self._ledger.list_owing()[:MOST_CREDITS]:
             self._spawn(self._ledger.record_credit(program))
 
     async def _reserve_from_store(
-        self, question: peer_messages.Reserve, until: float
+        self, question: peer_messages.Reserve, deadline: float
     ) -> ledger_module.Outcome:
-        if self._timers.now() - self._began < NEWCOMER:
-            await self._holders.ask_former_home(question.program)
+        if self._timers.now() - self._began < JOIN_PERIOD_SECONDS:
+            await self._transfers.collect_from_former(question.program)
         is_sure = self._is_sure(question.program)
         if is_sure and question.may_owe:
             if await self._reserve_soon(question):
@@ -231,11 +236,13 @@
         extra = 0
         if not is_sure:
             extra = self._allow_for_predecessor(question)
-        outcome = await self._reserve_in_ledger(question, until, extra)
+        outcome = await self._reserve_in_ledger(question, deadline, extra)
         if outcome is ledger_module.Outcome.SPENT:
-            outcome = await self._reserve_from_others(question, until, extra)
+            outcome = await self._reserve_from_others(
+                question, deadline, extra
+            )
         if outcome is ledger_module.Outcome.SPENT:
-            self._ledger.note_refused(
+            self._ledger.report_refusal(
                 question.program,
                 question.budget,
                 question.turn,
@@ -245,7 +252,7 @@
         return outcome
 
     async def _reserve_from_others(
-        self, question: peer_messages.Reserve, until: float, extra: int
+        self, question: peer_messages.Reserve, deadline: float, extra: int
     ) -> ledger_module.Outcome:
         """Reserve after collecting tokens from other instances.
 
@@ -253,14 +260,14 @@
         each other until their callers time out, so the rounds are limited.
         """
         for _ in range(MOST_COLLECTIONS):
-            if not await self._holders.collect(question.program, until):
+            if not await self._transfers.collect(question.program, deadline):
                 # Turns may have ended during the collection.
-                if self._ledger.reserve_now(
+                if self._ledger.try_reserve(
                     question.program, question.turn, question.need
                 ):
                     return ledger_module.Outcome.GRANTED
                 return ledger_module.Outcome.SPENT
-            outcome = await self._reserve_in_ledger(question, until, extra)
+            outcome = await self._reserve_in_ledger(question, deadline, extra)
             if outcome is ledger_module.Outcome.GRANTED:
                 return outcome
         raise store_module.StoreRefusedError(
@@ -268,14 +275,14 @@
         )
 
     async def _reserve_in_ledger(
-        self, question: peer_messages.Reserve, until: float, extra: int
+        self, question: peer_messages.Reserve, deadline: float, extra: int
     ) -> ledger_module.Outcome:
         return await self._ledger.reserve(
             question.program,
             question.budget,
             question.turn,
             question.need,
-            until,
+            deadline,
             extra,
         )
 
@@ -287,7 +294,7 @@
         """
         is_new = not self._ledger.has_account(question.program)
         now = self._timers.now()
-        if is_new and self._tenure.may_have_been_trouble(now):
+        if is_new and self._exclusivity.had_recent_store_failure(now):
             _remember(self._uncharged, question.program)
         self._charge(question)
         return question.need
@@ -301,7 +308,7 @@
         """
         if question.may_owe and question.program in self._uncharged:
             del self._uncharged[question.program]
-            self._ledger.charge(
+            self._ledger.charge_former_credit(
                 question.program, question.budget, question.need
             )
 
@@ -313,12 +320,12 @@
             ),
             self._spawn,
         )
-        await asyncio.wait((asked,), timeout=CREDIT_PATIENCE)
-        if self._ledger.reserve_now(
+        await asyncio.wait((asked,), timeout=CREDIT_TIMEOUT_SECONDS)
+        if self._ledger.try_reserve(
             question.program, question.turn, question.need
         ):
             return True
-        if asked.done() and not self._ledger.is_closed:
+        if asked.done() and not self._ledger.is_store_unreachable:
             # The store has responded: the budget may be spent.
             return False
         return self._give_credit(question)
@@ -327,7 +334,7 @@
         """Reserve without the store, if that can't exceed the budget."""
         if not question.may_owe or not self._is_sure(question.program):
             return False
-        tokens = self._ledger.give_credit(
+        tokens = self._ledger.reserve_on_credit(
             question.program, question.budget, question.turn, question.need
         )
         if tokens:
@@ -339,15 +346,19 @@
         if self.is_leaving or program in self._shared:
             return False
         now = self._timers.now()
-        members = self._roster.list_homes()
-        self._tenure.note_members((one.instance for one in members), now)
-        home = homes_ranking.find_home(program, members)
+        members = self._membership.list_eligible()
+        self._exclusivity.update_members(
+            (one.instance for one in members), now
+        )
+        home = rendezvous.find_coordinator(program, members)
         if home is None or home.instance != self._instance:
             return False
-        return self._tenure.covers(program, now, self._timers.wall(), TICK)
+        return self._exclusivity.is_exclusive(
+            program, now, self._timers.wall(), TICK_INTERVAL_SECONDS
+        )
 
     def _top_up(self, question: peer_messages.Reserve) -> None:
-        if self._ledger.needs_more(question.program, question.need):
+        if self._ledger.needs_top_up(question.program, question.need):
             self._spawn(
                 self._ledger.top_up(
                     question.program, question.budget, question.need
@@ -361,21 +372,21 @@
         if not was_reserved:
             _remember(self._shared, question.program)
         _remember(self._ended, (question.program, question.turn))
-        self._clocks.lose(
+        self._program_tracker.record_delay(
             question.program,
             question.session,
             question.lost,
             self._timers.now(),
         )
         if question.target is not None:
-            self._clocks.place(
+            self._program_tracker.record_target(
                 question.program, question.session, question.target
             )
 
     def _arrive(self, question: peer_messages.Reserve) -> outlook.Slack | None:
         if question.time_left is None:
             return None
-        return self._clocks.arrive(
+        return self._program_tracker.start_turn(
             question.program,
             question.session,
             question.route,
@@ -391,10 +402,12 @@
         return Reservation(True, '', granted.slack, granted.target)
 
     def _grant(self, question: peer_messages.Reserve) -> peer_messages.Granted:
-        target = self._clocks.find_target(question.program, question.session)
+        target = self._program_tracker.find_target(
+            question.program, question.session
+        )
         return peer_messages.Granted(self._arrive(question), target)
 
-    def answer(
+    def handle_request(
         self, question: peer_messages.Question
     ) -> (
         peer_messages.Answer
@@ -410,19 +423,19 @@
                 return peer_messages.Granted()
             case peer_messages.HandOver(program, asker):
                 _remember(self._shared, program)
-                if self._ledger.is_in_doubt(program):
+                if self._ledger.has_unconfirmed_writes(program):
                     return self._give_up_sure(program, asker)
-                return self._holders.give_up(program, asker)
+                return self._transfers.release(program, asker)
             case peer_messages.Reserve(program, _, turn, need):
                 if (program, turn) in self._ended:
                     return peer_messages.Unable(False)
                 self._charge(question)
-                if self._ledger.reserve_now(program, turn, need):
+                if self._ledger.try_reserve(program, turn, need):
                     self._top_up(question)
                     return self._grant(question)
-                if self.is_leaving and self._roster.list_homes():
+                if self.is_leaving and self._membership.list_eligible():
                     return peer_messages.Unable(False)
-                if self._ledger.is_closed:
+                if self._ledger.is_store_unreachable:
                     if self._give_credit(question):
                         return self._grant(question)
                     return peer_messages.Unable(True)
@@ -433,17 +446,17 @@
     ) -> peer_messages.Answer:
         """Hand over tokens after confirming this instance's writes."""
         try:
-            await self._ledger.clear_doubt(program)
+            await self._ledger.confirm_writes(program)
         except store_module.StoreError:
             return peer_messages.Unable(True)
-        return self._holders.give_up(program, asker)
+        return self._transfers.release(program, asker)
 
     async def _reserve_for_other(
         self, question: peer_messages.Reserve
     ) -> peer_messages.Answer:
-        until = self._timers.now() + HOME_PATIENCE
+        deadline = self._timers.now() + HOME_PATIENCE
         try:
-            outcome = await self._reserve_from_store(question, until)
+            outcome = await self._reserve_from_store(question, deadline)
         except store_module.StoreError:
             return peer_messages.Unable(True)
         if outcome is ledger_module.Outcome.SPENT:
--- a/libs/gateway/vanillayoke/gateway/retries.py
+++ b/libs/gateway/vanillayoke/gateway/retries.py
@@ -4,18 +4,18 @@
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import store as store_module
 
-FIRST_PAUSE = 0.02
-LONGEST_PAUSE = 0.4
+INITIAL_BACKOFF_SECONDS = 0.02
+MAX_BACKOFF_SECONDS = 0.4
 # The timeout of an attempt made shortly before the deadline.
-SHORTEST_TRY = 0.02
+MIN_ATTEMPT_SECONDS = 0.02
 # The minimum of the timeout derived from the store's response times.
-SHORTEST_PATIENCE = 0.25
+MIN_TIMEOUT_SECONDS = 0.25
 
 
 async def commit(
     store: store_module.StoreClient,
     transaction: messages.Transaction,
-    until: float,
+    deadline: float,
     timer_service: timers.TimerService,
 ) -> messages.Committed | messages.Conflict:
     """Apply an idempotent transaction, with retries until the deadline.
@@ -25,24 +25,27 @@
     the value of the row. Raise the last ``StoreError`` when the deadline
     passes or the store is unreachable.
     """
-    pause = FIRST_PAUSE
+    pause = INITIAL_BACKOFF_SECONDS
     while True:
-        left = until - timer_service.now()
+        left = deadline - timer_service.now()
         try:
             return await store.transact(
-                transaction, max(SHORTEST_TRY, min(left, find_patience(store)))
+                transaction,
+                max(MIN_ATTEMPT_SECONDS, min(left, compute_timeout(store))),
             )
         except store_module.StoreError:
-            pause = min(LONGEST_PAUSE, pause * 2)
-            left = until - timer_service.now()
+            pause = min(MAX_BACKOFF_SECONDS, pause * 2)
+            left = deadline - timer_service.now()
             if left <= pause or store.is_closed:
                 raise
             await store.wait_open(pause)
 
 
-def find_patience(store: store_module.StoreClient) -> float:
+def compute_timeout(store: store_module.StoreClient) -> float:
     """Return the timeout of one call to the store, in seconds."""
     return min(
         store_module.LONGEST_PATIENCE,
-        max(SHORTEST_PATIENCE, store_module.PATIENCE_TIMES * store.usual_time),
+        max(
+            MIN_TIMEOUT_SECONDS, store_module.PATIENCE_TIMES * store.usual_time
+        ),
     )
--- a/libs/gateway/vanillayoke/gateway/scouting.py
+++ b/libs/gateway/vanillayoke/gateway/scouting.py
@@ -8,10 +8,10 @@
 import typing
 
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
+from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import occupancy
 from vanillayoke.scheduling import tallies
 
@@ -27,7 +27,7 @@
     def __init__(
         self,
         instance: str,
-        list_members: homes_ranking.ListMembers,
+        list_members: rendezvous.ListPeers,
         timer_service: timers.TimerService,
     ) -> None:
         self._instance = instance
@@ -35,7 +35,7 @@
         self._timers = timer_service
         self._tallies = tallies.Tallies()
         self._peers: peers_module.Peers | None = None
-        self._members: typing.Sequence[homes_ranking.HomeMember] = ()
+        self._members: typing.Sequence[rendezvous.Peer] = ()
         self._homes: dict[str, str | None] = {}
 
     def use(self, peers: peers_module.Peers) -> None:
@@ -133,5 +133,5 @@
         addresses = {
             one.instance: one.address for one in near or self._members
         }
-        home = homes_ranking.find_first(target, addresses)
+        home = rendezvous.find_highest(target, addresses)
         return None if home in (None, self._instance) else addresses[home]
--- a/libs/gateway/vanillayoke/gateway/shared.py
+++ b/libs/gateway/vanillayoke/gateway/shared.py
@@ -8,10 +8,10 @@
 from vanillayoke.gateway import catalog as catalog_module
 from vanillayoke.gateway import dialect as dialect_module
 from vanillayoke.gateway import histories as histories_module
-from vanillayoke.gateway import homes as homes_module
 from vanillayoke.gateway import limits as limits_module
 from vanillayoke.gateway import measures as measures_module
 from vanillayoke.gateway import messages
+from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.gateway import scouting
 from vanillayoke.gateway import store as store_module
 from vanillayoke.scheduling import occupancy
@@ -35,7 +35,7 @@
     view: occupancy.Occupancy
     pool: client.Pool
     store: store_module.StoreClient
-    homes: homes_module.Homes
+    reservations: reservations_module.Reservations
     scouts: scouting.Scouts
     histories: histories_module.Histories
     log: logs.Logger
--- a/libs/gateway/vanillayoke/gateway/store.py
+++ b/libs/gateway/vanillayoke/gateway/store.py
@@ -7,7 +7,7 @@
 from vanillayoke.gateway import availability as availability_module
 from vanillayoke.gateway import dialect as dialect_module
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import parts
+from vanillayoke.gateway import partitions
 from vanillayoke.gateway import relays as relays_module
 from vanillayoke.transport import client
 
@@ -85,7 +85,7 @@
         self._observer = observer
         self._pool = client.Pool(CONNECT_TIMEOUT)
         self.availability = availability_module.Availability()
-        self._probed = int(draw() * parts.PART_COUNT)
+        self._probed = int(draw() * partitions.PARTITION_COUNT)
         self._returned = asyncio.Event()
         self._lost = asyncio.Event()
         # The time that a call takes, as an average over the last few.
@@ -208,8 +208,8 @@
     async def _probe(self) -> None:
         """Find out whether any part of the store answers."""
         # Another part each time: some may be down while others work.
-        self._probed = (self._probed + PROBE_STEP) % parts.PART_COUNT
-        part = parts.name_part(self._probed)
+        self._probed = (self._probed + PROBE_STEP) % partitions.PARTITION_COUNT
+        part = partitions.name_partition(self._probed)
         request = self._dialect.encode_probe(part)
         try:
             await self._call_directly('probe', part, request, LONGEST_PATIENCE)
@@ -218,7 +218,7 @@
 
     async def _probe_relays(self) -> None:
         """Find out whether another instance reaches the store."""
-        request = self._dialect.encode_probe(parts.name_part(0))
+        request = self._dialect.encode_probe(partitions.name_partition(0))
         try:
             await self._call_by_relay('probe', request, LONGEST_PATIENCE)
         except StoreError:
--- a/libs/gateway/vanillayoke/gateway/sweeping.py
+++ b/libs/gateway/vanillayoke/gateway/sweeping.py
@@ -12,17 +12,17 @@
 from vanillayoke.core import timers
 from vanillayoke.gateway import catalog as catalog_module
 from vanillayoke.gateway import histories
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import ledger
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import parts
+from vanillayoke.gateway import partitions
+from vanillayoke.gateway import rendezvous
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import grants
 from vanillayoke.programs import transcripts
 
 # The time in which all partitions are swept once.
-ROUND = 600.0
+SWEEP_INTERVAL_SECONDS = 600.0
 # Rows are kept longer than the retention of the routes, since clocks differ
 # and a program may be about to continue.
 KEPT_TIMES = 2.0
@@ -41,7 +41,7 @@
         instance: str,
         store: store_module.StoreClient,
         catalog: catalog_module.Catalog,
-        list_members: homes_ranking.ListMembers,
+        list_members: rendezvous.ListPeers,
         timer_service: timers.TimerService,
     ) -> None:
         self._instance = instance
@@ -49,17 +49,19 @@
         self._catalog = catalog
         self._list_members = list_members
         self._timers = timer_service
-        self.removed = 0
+        self.removed_count = 0
 
     async def run(self) -> None:
         """Sweep one partition after another until cancelled."""
         while True:
-            for index in range(parts.PART_COUNT):
-                await self._timers.sleep(ROUND / parts.PART_COUNT)
-                await self._visit(parts.name_part(index))
+            for index in range(partitions.PARTITION_COUNT):
+                await self._timers.sleep(
+                    SWEEP_INTERVAL_SECONDS / partitions.PARTITION_COUNT
+                )
+                await self._visit(partitions.name_partition(index))
 
     async def _visit(self, part: str) -> None:
-        home = homes_ranking.find_home(part, self._list_members())
+        home = rendezvous.find_coordinator(part, self._list_members())
         if home is None or home.instance != self._instance:
             return
         if self._store.is_away or self._catalog.configuration is None:
@@ -92,7 +94,7 @@
         )
         outcome = await self._store.transact(transaction, PATIENCE)
         if isinstance(outcome, messages.Committed):
-            self.removed += len(old)
+            self.removed_count += len(old)
 
     def _find_age(self) -> float:
         routes = self._catalog.configuration.routes
--- a/libs/gateway/vanillayoke/gateway/holders.py
+++ b/libs/gateway/vanillayoke/gateway/token_transfers.py
@@ -10,10 +10,10 @@
 
 from vanillayoke.core import timers
 from vanillayoke.gateway import background
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
+from vanillayoke.gateway import rendezvous
 from vanillayoke.gateway import store as store_module
 
 # Instances that are asked for a program's tokens besides those named by its
@@ -44,20 +44,20 @@
     silent: tuple[str, ...]
 
 
-class Holders:
+class TokenTransfers:
     """Collects tokens from other instances and transfers them."""
 
     def __init__(
         self,
         instance: str,
         ledger: ledger_module.Ledger,
-        roster: homes_ranking.Roster,
+        membership: rendezvous.MembershipView,
         timer_service: timers.TimerService,
         spawn: typing.Callable[[typing.Coroutine], None],
     ) -> None:
         self._instance = instance
         self._ledger = ledger
-        self._roster = roster
+        self._membership = membership
         self._timers = timer_service
         self._spawn = spawn
         self._peers: peers_module.Peers | None = None
@@ -69,7 +69,7 @@
             collections.OrderedDict()
         )
 
-    def use(self, peers: peers_module.Peers) -> None:
+    def set_peers(self, peers: peers_module.Peers) -> None:
         """Set the connection to other instances."""
         self._peers = peers
 
@@ -81,8 +81,8 @@
         """
         # Only live instances: tokens sent to one that is listed in the store
         # and never started would be lost.
-        others = self._drop_self(self._roster.list_live())
-        programs = self._ledger.list_programs()
+        others = self._drop_self(self._membership.list_live_eligible())
+        programs = self._ledger.list_with_free_tokens()
         if others:
             await self._wait_within(
                 HANDING_PATIENCE,
@@ -90,7 +90,7 @@
             )
         return len(programs)
 
-    def give_up(self, program: str, asker: str) -> peer_messages.Handed:
+    def release(self, program: str, asker: str) -> peer_messages.Handed:
         """Release the free tokens; return them with their former receivers.
 
         While all instances are leaving, their membership views differ. Tokens
@@ -112,7 +112,7 @@
         if len(self._receivers) > MOST_HANDED_ON:
             self._receivers.popitem(last=False)
 
-    async def collect(self, program: str, until: float) -> bool:
+    async def collect(self, program: str, deadline: float) -> bool:
         """Collect tokens from other instances; return whether there were any.
 
         The row counts tokens granted, not used, and former coordinators keep
@@ -122,7 +122,7 @@
         """
         running = self._running.get(program)
         if running is None:
-            running = asyncio.ensure_future(self._collect(program, until))
+            running = asyncio.ensure_future(self._collect(program, deadline))
             self._running[program] = running
             running.add_done_callback(lambda _: self._running.pop(program))
         if await asyncio.shield(running):
@@ -134,12 +134,12 @@
             )
         return False
 
-    async def _collect(self, program: str, until: float) -> bool:
+    async def _collect(self, program: str, deadline: float) -> bool:
         now = self._timers.now()
         last = self._searches.get(program)
         if last is not None and now - last.at < SEARCH_PAUSE:
             return False
-        patience = max(0.0, min(COLLECTING_PATIENCE, until - now))
+        patience = max(0.0, min(COLLECTING_PATIENCE, deadline - now))
         if await self._search(program, patience):
             return True
         if self._searches[program].silent:
@@ -194,10 +194,10 @@
 
     def _find_holders(
         self, program: str, named: set[str]
-    ) -> list[homes_ranking.HomeMember]:
+    ) -> list[rendezvous.Peer]:
         """Return the other instances that may hold tokens."""
-        others = self._drop_self(self._roster.list_reachable())
-        ranked = homes_ranking.list_best(program, others, MOST_RANKED)
+        others = self._drop_self(self._membership.list_reachable())
+        ranked = rendezvous.list_highest(program, others, MOST_RANKED)
         wanted = named.union(one.instance for one in ranked)
         return [one for one in others if one.instance in wanted]
 
@@ -210,13 +210,13 @@
         later as failed for some seconds. Their tokens arrive before the
         search is repeated.
         """
-        for one in self._roster.list_failed():
+        for one in self._membership.list_failed():
             if one.instance in named and one.instance not in asked:
                 asked.add(one.instance)
                 self._spawn(self._take_over(program, one, asked))
 
     async def _take_over(
-        self, program: str, holder: homes_ranking.HomeMember, asked: set[str]
+        self, program: str, holder: rendezvous.Peer, asked: set[str]
     ) -> int | None:
         """Collect the tokens of a holder and of those it transferred to.
 
@@ -228,7 +228,7 @@
             return None
         further = [
             one
-            for one in self._roster.list_reachable()
+            for one in self._membership.list_reachable()
             if one.instance in answer.receivers and one.instance not in asked
         ]
         asked.update(one.instance for one in further)
@@ -239,7 +239,7 @@
         return None if not taken and None in found else taken
 
     async def _ask_for_tokens(
-        self, program: str, holder: homes_ranking.HomeMember
+        self, program: str, holder: rendezvous.Peer
     ) -> peer_messages.Handed | None:
         answer = await self._peers.ask(
             holder.address,
@@ -253,7 +253,7 @@
             self._ledger.deposit(program, answer.tokens)
         return answer
 
-    async def ask_former_home(self, program: str) -> None:
+    async def collect_from_former(self, program: str) -> None:
         """Collect a program's tokens from its former coordinator.
 
         An instance that has just joined becomes the coordinator of programs
@@ -261,8 +261,8 @@
         """
         if self._ledger.has_account(program):
             return
-        others = self._drop_self(self._roster.list_homes())
-        former = homes_ranking.find_home(program, others)
+        others = self._drop_self(self._membership.list_eligible())
+        former = rendezvous.find_coordinator(program, others)
         if former is None:
             return
         await self._wait_within(
@@ -273,9 +273,9 @@
     async def _transfer(
         self,
         program: str,
-        others: typing.Sequence[homes_ranking.HomeMember],
+        others: typing.Sequence[rendezvous.Peer],
     ) -> int:
-        home = homes_ranking.find_home(program, others)
+        home = rendezvous.find_coordinator(program, others)
         # Withdrawn before sending: a lost message loses tokens, but a late
         # one never counts them twice.
         tokens = self._ledger.withdraw(program)
@@ -289,6 +289,6 @@
         return tokens
 
     def _drop_self(
-        self, members: typing.Iterable[homes_ranking.HomeMember]
-    ) -> list[homes_ranking.HomeMember]:
+        self, members: typing.Iterable[rendezvous.Peer]
+    ) -> list[rendezvous.Peer]:
         return [one for one in members if one.instance != self._instance]
--- a/libs/gateway/vanillayoke/gateway/turns.py
+++ b/libs/gateway/vanillayoke/gateway/turns.py
@@ -90,7 +90,9 @@
                 progress.target if turn.is_whole else None,
             )
             self._parts.spawn(
-                self._parts.homes.settle(progress.keeper or '', question)
+                self._parts.reservations.settle(
+                    progress.keeper or '', question
+                )
             )
 
     def _find_loss(self, turn: _Turn) -> float:
@@ -151,21 +153,21 @@
             program.time_left,
             not progress.route.keeps_history,
         )
-        found = self._parts.homes.reserve_here(question)
+        found = self._parts.reservations.reserve_locally(question)
         asked = 0
         while found is None:
             self._refuse_if_isolated()
             question = self._name_reservation(turn, question, asked)
             asked += 1
             try:
-                found = await self._parts.homes.reserve(
+                found = await self._parts.reservations.reserve(
                     question, self._holding.find_latest_start(progress)
                 )
             except store_module.StoreError as error:
                 await self._holding.hold(progress, error)
         if not found.is_granted:
             raise refusals.RefusalError(refusals.Reason.BUDGET_SPENT)
-        progress.keeper = found.keeper
+        progress.keeper = found.coordinator
         progress.slack = found.slack
         progress.favourite = found.target
         progress.slack_at = self._parts.timers.now()
--- a/libs/gateway/vanillayoke/gateway/verdict_news.py
+++ b/libs/gateway/vanillayoke/gateway/verdict_news.py
@@ -3,9 +3,9 @@
 import random
 
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import notes as notes_module
 from vanillayoke.gateway import peers as peers_module
+from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import verdicts as verdicts_module
 
 # How many others an instance tells of a verdict that is new to it: with four,
@@ -20,7 +20,7 @@
         self,
         instance: str,
         verdicts: verdicts_module.Verdicts,
-        list_homes: homes_ranking.ListMembers,
+        list_homes: rendezvous.ListPeers,
         timer_service: timers.TimerService,
         source: random.Random,
         notes: notes_module.Notes,
--- a/libs/gateway/vanillayoke/gateway/version_news.py
+++ b/libs/gateway/vanillayoke/gateway/version_news.py
@@ -9,10 +9,10 @@
 import typing
 
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
+from vanillayoke.gateway import rendezvous
 from vanillayoke.gateway import store as store_module
 
 # How many others are told of a version that is new here; they tell as many.
@@ -43,7 +43,7 @@
         relay: str,
         table: str,
         store: store_module.StoreClient,
-        list_homes: homes_ranking.ListMembers,
+        list_homes: rendezvous.ListPeers,
         timer_service: timers.TimerService,
         source: random.Random,
         spawn: typing.Callable[[typing.Coroutine], None],
--- a/libs/programs/vanillayoke/programs/grants.py
+++ b/libs/programs/vanillayoke/programs/grants.py
@@ -12,17 +12,17 @@
 
 # The share of the budget that one grant takes; a program loses at most this
 # share when an instance fails.
-GRANT_SHARE = 0.25
+GRANT_RATIO = 0.25
 # The share of the budget that a coordinator may give on credit while the
 # store is unavailable; at least one turn.
-CREDIT_SHARE = 0.25
-MOST_HOLDERS = 16
+CREDIT_RATIO = 0.25
+MAX_HOLDERS = 16
 
 
 class BudgetRow(msgspec.Struct, frozen=True, array_like=True):
     """How much of a program's budget has been granted, in tokens.
 
-    ``writer`` identifies the write that made this row, so that an instance
+    ``write_id`` identifies the write that made this row, so that an instance
     that got no response finds out whether its write took effect. ``time`` is
     the wall time of the write in seconds, for the removal of expired rows.
     ``holders`` lists the instances that were granted tokens, the latest one
@@ -32,18 +32,18 @@
 
     budget: int
     granted: int
-    writer: str
+    write_id: str
     time: float
     holders: tuple[tuple[str, str], ...] = ()
 
     def add_holder(self, instance: str) -> 'BudgetRow':
         """Return the row with an instance as the latest holder."""
         others = [one for one in self.holders if one[0] != instance]
-        holders = (*others[1 - MOST_HOLDERS :], (instance, self.writer))
+        holders = (*others[1 - MAX_HOLDERS :], (instance, self.write_id))
         return msgspec.structs.replace(self, holders=holders)
 
 
-class Purse:
+class Allotment:
     """Tokens that one instance may still let one program generate."""
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
         return sum(self._reserved.values())
 
     @property
-    def turns(self) -> int:
+    def turn_count(self) -> int:
         """The number of turns in progress."""
         return len(self._reserved)
 
@@ -64,7 +64,7 @@
         """Add granted tokens."""
         self.free += tokens
 
-    def take_free(self) -> int:
+    def withdraw_free(self) -> int:
         """Remove all unreserved tokens; return their number."""
         tokens = self.free
         self.free = 0
@@ -106,7 +106,7 @@
     row: BudgetRow | None,
     budget: int,
     need: int,
-    writer: str,
+    write_id: str,
     time: float,
     extra: int = 0,
 ) -> Grant | None:
@@ -120,10 +120,10 @@
     left = budget - granted
     if need > left + extra:
         return None
-    tokens = max(need, min(left, int(budget * GRANT_SHARE)))
+    tokens = max(need, min(left, int(budget * GRANT_RATIO)))
     holders = () if row is None else row.holders
     granted += tokens
-    return Grant(BudgetRow(budget, granted, writer, time, holders), tokens)
+    return Grant(BudgetRow(budget, granted, write_id, time, holders), tokens)
 
 
 def plan_credit(budget: int, known: int, owed: int, need: int) -> int:
@@ -132,23 +132,23 @@
     ``known`` is the number of tokens known to be granted, and ``owed`` the
     number already given on credit.
     """
-    limit = max(need, int(budget * CREDIT_SHARE))
+    limit = max(need, int(budget * CREDIT_RATIO))
     left = min(limit - owed, budget - known - owed)
     return need if 0 < need <= left else 0
 
 
-def find_charge(budget: int, most: int) -> int:
+def compute_charge(budget: int, most: int) -> int:
     """Return the tokens that a new coordinator charges to a program.
 
     This is the maximum that a failed predecessor can have given on credit
     without recording it.
     """
-    return max(most, int(budget * CREDIT_SHARE))
+    return max(most, int(budget * CREDIT_RATIO))
 
 
 def plan_return(
-    row: BudgetRow, tokens: int, writer: str, time: float
+    row: BudgetRow, tokens: int, write_id: str, time: float
 ) -> BudgetRow:
     """Return the row with the unused tokens of a grant returned."""
     granted = row.granted - tokens
-    return BudgetRow(row.budget, granted, writer, time, row.holders)
+    return BudgetRow(row.budget, granted, write_id, time, row.holders)
--- a/libs/soak/vanillayoke/soak/demo.py
+++ b/libs/soak/vanillayoke/soak/demo.py
@@ -16,7 +16,7 @@
 import typing
 
 from vanillayoke.core import stories
-from vanillayoke.gateway import homes_ranking
+from vanillayoke.gateway import rendezvous
 from vanillayoke.programs import scopes
 from vanillayoke.soak import callers as callers_module
 from vanillayoke.soak import checks
@@ -124,11 +124,11 @@
     def _find_home(self) -> str:
         """Return the instance that keeps the program's budget."""
         members = [
-            homes_ranking.HomeMember(child.name, host)
+            rendezvous.Peer(child.name, host)
             for host, child in self.site.instances.items()
         ]
         program = scopes.qualify(ORGANISATION, PROGRAM)
-        return homes_ranking.find_home(program, members).address
+        return rendezvous.find_coordinator(program, members).address
 
     def _find_server(self) -> str:
         """Return the instance that the newest turn was sent to."""
--- a/tests/gateway/sites.py
+++ b/tests/gateway/sites.py
@@ -4,7 +4,7 @@
 
 from tests.gateway import site as site_module
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
+from vanillayoke.gateway import rendezvous
 from vanillayoke.testing import fixtures
 from vanillayoke.testing import networks
 from vanillayoke.transport import client
@@ -27,10 +27,10 @@
 
 def rank(program, names):
     """Return instances, the best home for a program first."""
-    left = [homes_ranking.HomeMember(name, '') for name in names]
+    left = [rendezvous.Peer(name, '') for name in names]
     ranked = []
     while left:
-        best = homes_ranking.find_home(program, left)
+        best = rendezvous.find_coordinator(program, left)
         ranked.append(best.instance)
         left.remove(best)
     return ranked
--- a/tests/gateway/test_credit.py
+++ b/tests/gateway/test_credit.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from tests.gateway import sites
-from vanillayoke.gateway import homes_ranking
+from vanillayoke.gateway import exclusivity
 from vanillayoke.gateway import peer_messages
-from vanillayoke.gateway import tenure
+from vanillayoke.gateway import rendezvous
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
 
@@ -16,10 +16,10 @@
 
 def _find_home(site, program):
     members = [
-        homes_ranking.HomeMember(name, front.settings.front)
+        rendezvous.Peer(name, front.settings.front)
         for name, front in site.fronts.items()
     ]
-    return homes_ranking.find_home(program, members).instance
+    return rendezvous.find_coordinator(program, members).instance
 
 
 async def _go_away(site, mode=store_module.Mode.RESET):
@@ -151,7 +151,7 @@
         number += 1
         await _turn(site, 'i1', number)
         account = ledger._accounts['new']
-        if account.known == 600 and account.purse.free == 40:
+        if account.granted == 600 and account.allotment.free == 40:
             break
     site.store.lost_replies = 1
     task = asyncio.ensure_future(_turn(site, 'i1', number + 1))
@@ -205,7 +205,7 @@
     await site.start(3)
     await _go_away(site)
     for front in site.fronts.values():
-        front._tenure.note_break(site.timers.now())
+        front._exclusivity.record_interruption(site.timers.now())
     for name, front in site.fronts.items():
         # As in the moments behind a refusal of all other instances.
         front._store.availability.is_away = True
@@ -215,7 +215,8 @@
             program, 800, 'turn', MOST, may_owe=True
         )
         case.assertEqual(
-            peer_messages.Unable(True), front._homes.answer(question)
+            peer_messages.Unable(True),
+            front._reservations.handle_request(question),
         )
         case.assertEqual([], site.list_events(name, 'budget_on_credit'))
 
@@ -235,54 +236,54 @@
 
 
 def _make_tenure(is_first_start=True):
-    made = tenure.Tenure('i1', 0.0, is_first_start)
-    made.note_program()
-    made.note_members(['i1', 'i2'], 0.0)
+    made = exclusivity.Exclusivity('i1', 0.0, is_first_start)
+    made.record_program()
+    made.update_members(['i1', 'i2'], 0.0)
     made.tick(0.0, 0.0, 0.25)
     return made
 
 
 def _find_program(wanted):
     """Return a program whose home is ``wanted`` among two."""
-    members = [homes_ranking.HomeMember(name, '') for name in ('i1', 'i2')]
+    members = [rendezvous.Peer(name, '') for name in ('i1', 'i2')]
     names = (f'p{number}' for number in range(100))
     return next(
         name
         for name in names
-        if homes_ranking.find_home(name, members).instance == wanted
+        if rendezvous.find_coordinator(name, members).instance == wanted
     )
 
 
 def test_home_from_the_first_start_on_is_sure(case):
     made = _make_tenure()
-    case.assertTrue(made.covers(_find_program('i1'), 0.1, 0.1, 0.25))
-    case.assertFalse(made.covers(_find_program('i2'), 0.1, 0.1, 0.25))
+    case.assertTrue(made.is_exclusive(_find_program('i1'), 0.1, 0.1, 0.25))
+    case.assertFalse(made.is_exclusive(_find_program('i2'), 0.1, 0.1, 0.25))
 
 
 def test_restarted_home_is_sure_after_a_while_only(case):
     made = _make_tenure(is_first_start=False)
     program = _find_program('i1')
-    case.assertFalse(made.covers(program, 0.1, 0.1, 0.25))
+    case.assertFalse(made.is_exclusive(program, 0.1, 0.1, 0.25))
     made.tick(0.25, 0.25, 0.25)
     for step in range(1, 600):
         made.tick(step * 0.25, step * 0.25, 0.25)
-    case.assertTrue(made.covers(program, 599 * 0.25, 599 * 0.25, 0.25))
+    case.assertTrue(made.is_exclusive(program, 599 * 0.25, 599 * 0.25, 0.25))
 
 
 def test_home_in_place_of_one_that_went_is_not_sure(case):
     made = _make_tenure()
-    made.note_members(['i1'], 1.0)
+    made.update_members(['i1'], 1.0)
     made.tick(0.25, 0.25, 0.25)
-    case.assertFalse(made.covers(_find_program('i2'), 0.3, 0.3, 0.25))
-    case.assertTrue(made.covers(_find_program('i1'), 0.3, 0.3, 0.25))
+    case.assertFalse(made.is_exclusive(_find_program('i2'), 0.3, 0.3, 0.25))
+    case.assertTrue(made.is_exclusive(_find_program('i1'), 0.3, 0.3, 0.25))
 
 
 def test_home_that_froze_is_not_sure(case):
     """Others stood in for it; it has not heard so yet."""
     made = _make_tenure()
-    case.assertFalse(made.covers(_find_program('i1'), 3.0, 3.0, 0.25))
+    case.assertFalse(made.is_exclusive(_find_program('i1'), 3.0, 3.0, 0.25))
     made.tick(3.0, 3.0, 0.25)
-    case.assertFalse(made.covers(_find_program('i1'), 3.1, 3.1, 0.25))
+    case.assertFalse(made.is_exclusive(_find_program('i1'), 3.1, 3.1, 0.25))
 
 
 def test_home_whose_machine_was_suspended_is_not_sure(case):
@@ -291,22 +292,22 @@
     Others stood in for it meanwhile, and what they granted it does not know.
     """
     made = _make_tenure()
-    case.assertFalse(made.covers(_find_program('i1'), 0.1, 4.1, 0.25))
+    case.assertFalse(made.is_exclusive(_find_program('i1'), 0.1, 4.1, 0.25))
     made.tick(0.25, 4.25, 0.25)
-    case.assertFalse(made.covers(_find_program('i1'), 0.3, 4.3, 0.25))
+    case.assertFalse(made.is_exclusive(_find_program('i1'), 0.3, 4.3, 0.25))
 
 
 def test_clock_step_back_leaves_a_home_sure(case):
     made = _make_tenure()
     made.tick(0.25, -4.75, 0.25)
-    case.assertTrue(made.covers(_find_program('i1'), 0.3, -4.7, 0.25))
+    case.assertTrue(made.is_exclusive(_find_program('i1'), 0.3, -4.7, 0.25))
 
 
 def test_home_that_was_taken_for_gone_is_not_sure(case):
     made = _make_tenure()
-    made.note_incarnation(5, 0.0)
-    made.note_incarnation(6, 0.1)
-    case.assertFalse(made.covers(_find_program('i1'), 0.2, 0.2, 0.25))
+    made.update_incarnation(5, 0.0)
+    made.update_incarnation(6, 0.1)
+    case.assertFalse(made.is_exclusive(_find_program('i1'), 0.2, 0.2, 0.25))
 
 
 load_tests = fixtures.adapt(__name__, [sites])
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -4,10 +4,10 @@
 import collections
 
 from tests.gateway import sites
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import limits as limits_module
 from vanillayoke.gateway import peer_messages
+from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import quotas
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
@@ -45,9 +45,9 @@
 
 
 def rank_homes(organisation='red', names=INSTANCES):
-    members = [homes_ranking.HomeMember(name, '') for name in names]
-    key = limits_module.PREFIX + organisation
-    best = homes_ranking.list_best(key, members, len(members))
+    members = [rendezvous.Peer(name, '') for name in names]
+    key = limits_module.KEY_PREFIX + organisation
+    best = rendezvous.list_highest(key, members, len(members))
     return [one.instance for one in best]
 
 
@@ -245,7 +245,9 @@
     """Ask a front, as another instance does; return what it answers."""
     limit = quotas.Limit(10.0, 0.0, 3.0, WINDOW)
     question = peer_messages.Usage('red', 'x', limit, 2, asked=('p', ''))
-    return [front._limit_accounts.answer(question) for _ in range(count)]
+    return [
+        front._limit_accounts.handle_request(question) for _ in range(count)
+    ]
 
 
 async def _await_all(answers):
@@ -270,7 +272,7 @@
     answers = await _await_all(_ask(home, 8))
     admitted = sum(one.refused is None for one in answers)
     case.assertLessEqual(admitted, 3)
-    await asyncio.sleep(limit_accounts.SETTLING + 0.1)
+    await asyncio.sleep(limit_accounts.SETTLING_SECONDS + 0.1)
     [answer] = await _await_all(_ask(home))
     case.assertIsNone(answer.refused)
 
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from tests.gateway import sites
-from vanillayoke.gateway import homes as homes_module
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
+from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.testing import fixtures
 
 BUDGET = 175
@@ -30,7 +30,7 @@
     await site.turn('i1', 'first', program='new', budget=320, most=MOST)
     for front in site.fronts.values():
         front._members.leave()
-        front._homes.is_leaving = True
+        front._reservations.is_leaving = True
     await asyncio.sleep(0.5)
     answers = await asyncio.gather(
         *(
@@ -79,10 +79,10 @@
     for leaving in (fronts[:3], fronts[3:]):
         for front in leaving:
             front._members.leave()
-            front._homes.is_leaving = True
+            front._reservations.is_leaving = True
         await asyncio.sleep(0.5)
         for front in leaving:
-            await front._homes.hand_over()
+            await front._reservations.hand_over()
     answers = await _send_turns(site, program)
     case.assertEqual([200] * 3, [answer.status for answer in answers])
 
@@ -99,7 +99,7 @@
     await _use_a_part(site.fronts['i1'], program)
     until = site.timers.now() + 1.0
     for name in ('i2', 'i4'):
-        holders = site.fronts[name]._homes._holders
+        holders = site.fronts[name]._reservations._transfers
         case.assertTrue(await holders.collect(program, until))
     answers = await _send_turns(site, program)
     case.assertEqual([200] * 3, [answer.status for answer in answers])
@@ -113,14 +113,14 @@
     """
     program = sites.find_program('i1', 'i2')
     await site.start(2)
-    await asyncio.sleep(homes_module.NEWCOMER)
+    await asyncio.sleep(reservations_module.JOIN_PERIOD_SECONDS)
     await _use_a_part(site.fronts['i2'], program)
     members = site.fronts['i1']._members
     failed = [one for one in members.list_homes() if one.instance == 'i2']
     members.list_reachable = lambda: []
     members.list_failed = lambda: failed
     question = peer_messages.Reserve(program, BUDGET, 'a', 120)
-    outcome = await site.fronts['i1']._homes._reserve_from_store(
+    outcome = await site.fronts['i1']._reservations._reserve_from_store(
         question, site.timers.now() + 2.0
     )
     case.assertIs(ledger_module.Outcome.GRANTED, outcome)
@@ -192,7 +192,7 @@
     homes = site.fronts['i1']._members.list_homes()
     case.assertIn('i9', [one.instance for one in homes])
     await _use_a_part(site.fronts['i1'], program)
-    await site.fronts['i1']._homes.hand_over()
+    await site.fronts['i1']._reservations.hand_over()
     case.assertEqual(BUDGET - 40, site.fronts['i2']._ledger.withdraw(program))
 
 
--- a/tests/gateway/test_outages.py
+++ b/tests/gateway/test_outages.py
@@ -5,7 +5,7 @@
 from tests.gateway import site as site_module
 from tests.gateway import sites
 from vanillayoke.gateway import histories
-from vanillayoke.gateway import parts
+from vanillayoke.gateway import partitions
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
@@ -118,13 +118,16 @@
     await site.start(3)
     for number in range(6):
         await site.turn('i1', f'z{number}', program=f'q{number}')
-    names = [parts.name_part(number) for number in range(parts.PART_COUNT)]
+    names = [
+        partitions.name_partition(number)
+        for number in range(partitions.PARTITION_COUNT)
+    ]
     site.store.down = set(names[::3])
     for number in range(60):
         turns = (f'a{number}', f'b{number}')
         if any(_is_nowhere(site, turn) for turn in turns):
             continue
-        if parts.find_part(f'p{number}') in site.store.down:
+        if partitions.find_partition(f'p{number}') in site.store.down:
             # Its budget can't be granted meanwhile; see below.
             continue
         first = await site.turn(
@@ -157,7 +160,7 @@
     await site.start(3)
     for name in site.fronts:
         await site.turn(name, f'before-{name}', program='old')
-    site.store.down = {parts.find_part('new')}
+    site.store.down = {partitions.find_partition('new')}
     answer = await site.turn('i1', 'a', program='new')
     case.assertEqual(503, answer.status)
     case.assertEqual([], site.list_runs('a'))
@@ -168,7 +171,7 @@
 def _is_nowhere(site, turn):
     """Return whether all places of a turn are down: one in 27 has to wait."""
     return site.store.down.issuperset(
-        parts.list_places(turn, histories.PLACES)
+        partitions.list_candidates(turn, histories.PLACES)
     )
 
 
@@ -179,7 +182,7 @@
     that its history is lost.
     """
     await site.start()
-    places = parts.list_places('a', histories.PLACES)
+    places = partitions.list_candidates('a', histories.PLACES)
     site.store.down = {places[0]}
     await site.turn('i1', 'a', b'one')
     site.store.down = {places[1]}
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -123,7 +123,7 @@
     front = site.fronts[other]
     question = peer_messages.Reserve(program, MOST, 'lost', MOST)
     until = site.timers.now() + 0.1
-    task = asyncio.ensure_future(front._homes.reserve(question, until))
+    task = asyncio.ensure_future(front._reservations.reserve(question, until))
     await asyncio.sleep(0.15)
     task.cancel()
     await asyncio.sleep(2.0)
@@ -145,7 +145,7 @@
     question = peer_messages.Reserve('new', MOST, 'lost', MOST)
     site.store.lost_replies = 1
     until = site.timers.now() + 2.0
-    task = asyncio.ensure_future(front._homes.reserve(question, until))
+    task = asyncio.ensure_future(front._reservations.reserve(question, until))
     # The row is written by then, and the next try is not made yet.
     await asyncio.sleep(0.015)
     case.assertIn('new', site.store.list_table('budgets'))
@@ -177,7 +177,7 @@
             receive(data, address)
 
     sender._receive = hear_members_only
-    stand_in = site.fronts['i1']._homes
+    stand_in = site.fronts['i1']._reservations
     question = peer_messages.Reserve(program, BUDGET, 'under-way', MOST)
     await stand_in.reserve(question, site.timers.now() + 1.0)
     await _set_engines(site, are_leaving=False)
@@ -217,7 +217,7 @@
     await site.start(3)
     for front in list(site.fronts.values()):
         front._members.leave()
-        front._homes.is_leaving = True
+        front._reservations.is_leaving = True
     await asyncio.sleep(0.5)
     statuses = []
     for number, instance in enumerate(('i1', 'i2', 'i3', 'i3')):
@@ -245,7 +245,7 @@
     sender._receive = lambda data, address: (
         receive(data, address) if data[:1] == peers.MEMBERSHIP else None
     )
-    collect = site.fronts['i1']._homes._holders.collect
+    collect = site.fronts['i1']._reservations._transfers.collect
     until = site.timers.now() + 2.0
     case.assertTrue(await collect(program, until))
     with case.assertRaises(store_client.StoreRefusedError):
@@ -266,7 +266,7 @@
         if data[:1] == peers.MEMBERSHIP
         else late.append((data, address))
     )
-    collect = site.fronts['i1']._homes._holders.collect
+    collect = site.fronts['i1']._reservations._transfers.collect
     with case.assertRaises(store_client.StoreRefusedError):
         await collect('new', site.timers.now() + 2.0)
     sender._receive = receive
@@ -290,7 +290,7 @@
             asked.append(data)
 
     sender._receive = count
-    collect = site.fronts['i1']._homes._holders.collect
+    collect = site.fronts['i1']._reservations._transfers.collect
     until = site.timers.now() + 2.0
     await asyncio.gather(
         *(collect('new', until) for _ in range(50)), return_exceptions=True
@@ -314,7 +314,7 @@
     other = site.fronts['i2']._ledger
     until = site.timers.now() + 1.0
     await other.reserve(program, BUDGET, 'b', MOST, until, MOST)
-    collect = site.fronts['i2']._homes._holders.collect
+    collect = site.fronts['i2']._reservations._transfers.collect
     case.assertTrue(await collect(program, site.timers.now() + 1.0))
     case.assertEqual(MOST, other.withdraw(program))
 
@@ -328,7 +328,7 @@
     program = sites.find_program('i1', 'i2', 'i3')
     site.fronts['i1']._ledger.deposit(program, MOST)
     tokens = site.fronts['i1']._ledger.withdraw(program)
-    collect = site.fronts['i3']._homes._holders.collect
+    collect = site.fronts['i3']._reservations._transfers.collect
     found = asyncio.ensure_future(collect(program, site.timers.now() + 2.0))
     await asyncio.sleep(0.05)
     site.fronts['i2']._ledger.deposit(program, tokens)
@@ -344,7 +344,7 @@
     """
     await site.start(2)
     ledgers = [site.fronts[name]._ledger for name in ('i1', 'i2')]
-    collect = site.fronts['i1']._homes._holders.collect
+    collect = site.fronts['i1']._reservations._transfers.collect
     until = site.timers.now() + 2.0
     for _ in range(2):
         ledgers[1].deposit('new', MOST)
@@ -361,7 +361,7 @@
     """
     program = sites.find_program('i1', 'i2')
     await site.start(2)
-    homes = [site.fronts[name]._homes for name in ('i1', 'i2')]
+    homes = [site.fronts[name]._reservations for name in ('i1', 'i2')]
     ledgers = [site.fronts[name]._ledger for name in ('i1', 'i2')]
     until = site.timers.now() + 5.0
     for ledger, turn in zip(ledgers, 'xy', strict=True):
@@ -391,12 +391,16 @@
     Nobody would settle the second reservation.
     """
     await site.start(1)
-    homes = site.fronts['i1']._homes
+    homes = site.fronts['i1']._reservations
     site.fronts['i1']._ledger.deposit('new', MOST)
     question = peer_messages.Reserve('new', MOST, 'a', MOST)
-    case.assertIsInstance(homes.answer(question), peer_messages.Granted)
-    homes.answer(peer_messages.Settle('new', 'a', 0))
-    case.assertEqual(peer_messages.Unable(False), homes.answer(question))
+    case.assertIsInstance(
+        homes.handle_request(question), peer_messages.Granted
+    )
+    homes.handle_request(peer_messages.Settle('new', 'a', 0))
+    case.assertEqual(
+        peer_messages.Unable(False), homes.handle_request(question)
+    )
     case.assertEqual(MOST, site.fronts['i1']._ledger.withdraw('new'))
 
 
@@ -411,7 +415,7 @@
     await ledger.reserve('new', 400, 'a', MOST, until)
     ledger.settle('new', 'a', 0)
     site.store.lost_replies = 1
-    back = asyncio.ensure_future(ledger.give_back(site.timers.now() + 3.0))
+    back = asyncio.ensure_future(ledger.return_grants(site.timers.now() + 3.0))
     while site.store.lost_replies:
         case.assertFalse(back.done())
         await asyncio.sleep(0.001)
--- a/tests/gateway/test_sweeping.py
+++ b/tests/gateway/test_sweeping.py
@@ -14,7 +14,7 @@
     for number in range(5):
         await site.turn('i1', f'a{number}', program=f'p{number}')
     case.assertEqual(5, len(site.store.list_table('turns')))
-    await asyncio.sleep(2 * sweeping.ROUND)
+    await asyncio.sleep(2 * sweeping.SWEEP_INTERVAL_SECONDS)
     case.assertEqual({}, site.store.list_table('turns'))
     case.assertEqual({}, site.store.list_table('budgets'))
 
--- a/tests/gateway/test_turns.py
+++ b/tests/gateway/test_turns.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from tests.gateway import sites
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers
+from vanillayoke.gateway import rendezvous
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.standins import targets
@@ -160,7 +160,7 @@
     """
     await site.start(3)
     homes = site.fronts['i1']._members.list_homes()
-    home = homes_ranking.find_home('p1', homes).instance
+    home = rendezvous.find_coordinator('p1', homes).instance
     other = next(name for name in ('i1', 'i2', 'i3') if name != home)
     for number in range(3):
         await site.turn(other, f'a{number}', route='plan', budget=400)
@@ -213,10 +213,8 @@
         'i1', 'a0', route='plan', budget=160, most=100, program='small'
     )
     case.assertEqual(200, answer.status)
-    members = [
-        homes_ranking.HomeMember(name, '') for name in sorted(site.fronts)
-    ]
-    home = homes_ranking.find_home('small', members).instance
+    members = [rendezvous.Peer(name, '') for name in sorted(site.fronts)]
+    home = rendezvous.find_coordinator('small', members).instance
     sites.kill(site, network, home)
     await asyncio.sleep(3.0)
     other = next(iter(site.fronts))
@@ -311,8 +309,8 @@
     """
     await site.start()
     for front in site.fronts.values():
-        front._tenure.note_program()
-        front._tenure.note_break(site.timers.now())
+        front._exclusivity.record_program()
+        front._exclusivity.record_interruption(site.timers.now())
     site.store.mode = store_module.Mode.BUSY
     await asyncio.sleep(1.0)
     began = site.timers.now()
--- a/tests/programs/test_grants.py
+++ b/tests/programs/test_grants.py
@@ -48,19 +48,19 @@
         )
     )
     def check(steps):
-        purse = grants.Purse()
-        purse.add(1000)
+        allotment = grants.Allotment()
+        allotment.add(1000)
         under_way = {}
         used = 0
         for step, turn, tokens in steps:
             name = f't{turn}'
-            if step == 'r' and purse.reserve(name, tokens):
+            if step == 'r' and allotment.reserve(name, tokens):
                 under_way.setdefault(name, tokens)
             elif step == 's':
                 spent = min(tokens, under_way.pop(name, 0))
-                purse.settle(name, spent)
+                allotment.settle(name, spent)
                 used += spent
-        case.assertLessEqual(used + purse.reserved + purse.free, 1000)
+        case.assertLessEqual(used + allotment.reserved + allotment.free, 1000)
 
     check()
 
@@ -93,7 +93,7 @@
                 # The next home charges credit if the store was away.
                 extra, owed = most, 0
                 if not all(has_store[:number]):
-                    owed = grants.find_charge(budget, most)
+                    owed = grants.compute_charge(budget, most)
             known = 0 if row is None else row.granted
             if is_store:
                 base = grants.BudgetRow(budget, known + owed, 'w', 0.0)
