--- a/libs/gateway/vanillayoke/gateway/calls.py
+++ b/libs/gateway/vanillayoke/gateway/calls.py
@@ -125,7 +125,7 @@
                 await self._unary.serve(progress, responder)
         finally:
             if admission is not None and progress.max_runs != 1:
-                limits.add(admission, progress.max_runs - 1)
+                limits.adjust(admission, progress.max_runs - 1)
 
     def _end_with(
         self,
--- a/libs/gateway/vanillayoke/gateway/instance.py
+++ b/libs/gateway/vanillayoke/gateway/instance.py
@@ -15,10 +15,9 @@
 from vanillayoke.gateway import dialect as dialect_module
 from vanillayoke.gateway import directory
 from vanillayoke.gateway import endpoints
+from vanillayoke.gateway import exclusivity as exclusivity_module
 from vanillayoke.gateway import followed
 from vanillayoke.gateway import histories
-from vanillayoke.gateway import homes as homes_module
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import instrumentation
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import limit_accounts
@@ -28,10 +27,11 @@
 from vanillayoke.gateway import metrics as metrics_module
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
+from vanillayoke.gateway import rendezvous
+from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.gateway import scouting
 from vanillayoke.gateway import store as store_module
 from vanillayoke.gateway import sweeping
-from vanillayoke.gateway import tenure as tenure_module
 from vanillayoke.gateway import verdict_news
 from vanillayoke.gateway import version_news
 from vanillayoke.scheduling import occupancy
@@ -140,7 +140,7 @@
             MAINTENANCE_INTERVAL_SECONDS, self._run_maintenance
         )
         self._tick_timer = self._timers.call_every(
-            homes_module.TICK, self._tick
+            reservations_module.TICK_INTERVAL_SECONDS, self._tick
         )
         self._version_timer = self._version_gossip.start()
 
@@ -163,7 +163,7 @@
         for http_server, _ in self._listen:
             http_server.close()
         await self._reservations.hand_over()
-        await self._ledger.give_back(end)
+        await self._ledger.return_grants(end)
         self._members.depart()
         seconds = round(self._timers.now() - began, 2)
         self._log.write(log_events.DRAIN_ENDED, seconds=seconds)
@@ -228,16 +228,16 @@
             front=settings.front,
             peer=self._members_address,
         )
-        self._exclusivity = tenure_module.Tenure(
+        self._exclusivity = exclusivity_module.Exclusivity(
             settings.instance, self._started_at, settings.is_first_start
         )
-        roster = homes_ranking.Roster(
+        roster = rendezvous.MembershipView(
             lambda: self._members.list_homes(),
             lambda: self._members.list_live_homes(),
             lambda: self._members.list_reachable(),
             lambda: self._members.list_failed(),
         )
-        self._reservations = homes_module.Homes(
+        self._reservations = reservations_module.Reservations(
             settings.instance,
             self._ledger,
             roster,
@@ -271,7 +271,7 @@
             self._spawn,
             lambda: self._members.find_lost_share(tolerance.window),
             lambda: (
-                self._reservations.is_leaving and bool(roster.list_homes())
+                self._reservations.is_leaving and bool(roster.list_eligible())
             ),
         )
         self._limits = limits_module.Limits(
@@ -296,8 +296,8 @@
             incarnation,
         )
         self._version_gossip.use(self._peers)
-        self._limits.use(self._peers)
-        self._reservations.use(self._peers)
+        self._limits.set_peers(self._peers)
+        self._reservations.set_peers(self._peers)
         self._load_queries.use(self._peers)
         self._health_gossip.use(self._peers)
         self._members = members_module.Members(
@@ -359,8 +359,8 @@
             case peer_messages.Count():
                 return self._load_queries.answer(question)
             case peer_messages.Usage():
-                return self._limit_accounts.answer(question)
-        return self._reservations.answer(question)
+                return self._limit_accounts.handle_request(question)
+        return self._reservations.handle_request(question)
 
     def _list_relays(self) -> list[str]:
         me = self.settings.instance
@@ -376,7 +376,7 @@
         """Become known to the others once there is something to serve."""
         await self._table_sync.wait()
         self._members.start()
-        self._exclusivity.note_joined(self._timers.now())
+        self._exclusivity.record_joined(self._timers.now())
         self._apply_limits()
         ms = round((self._timers.now() - self._started_at) * 1000)
         self._log.write(log_events.GATEWAY_READY, ms=ms)
@@ -392,10 +392,12 @@
     def _tick(self) -> None:
         """Notice what may have made another instance stand in for this."""
         now = self._timers.now()
-        self._exclusivity.tick(now, self._timers.wall(), homes_module.TICK)
-        self._exclusivity.note_incarnation(self._members.incarnation, now)
+        self._exclusivity.tick(
+            now, self._timers.wall(), reservations_module.TICK_INTERVAL_SECONDS
+        )
+        self._exclusivity.update_incarnation(self._members.incarnation, now)
         homes = self._members.list_homes()
-        self._exclusivity.note_members((one.instance for one in homes), now)
+        self._exclusivity.update_members((one.instance for one in homes), now)
 
     def _run_maintenance(self) -> None:
         now = self._timers.now()
@@ -459,9 +461,12 @@
         self, call: str, outcome: str, taken: float
     ) -> None:
         self._instrumentation.record_store_call(call, outcome, taken)
-        is_slow = call != 'follow' and taken > homes_module.CREDIT_PATIENCE
+        is_slow = (
+            call != 'follow'
+            and taken > reservations_module.CREDIT_TIMEOUT_SECONDS
+        )
         if is_slow or outcome not in ('answered', 'relayed'):
-            self._exclusivity.note_trouble(self._timers.now())
+            self._exclusivity.record_store_failure(self._timers.now())
 
     def _record_store_state(self, is_back: bool) -> None:
         if is_back:
--- a/libs/gateway/vanillayoke/gateway/clocks.py
+++ b/libs/gateway/vanillayoke/gateway/program_tracking.py
@@ -1,30 +1,29 @@
-"""What each program's home keeps of it: time lost, and where it ran last."""
+"""Per-program state at its coordinator: time lost and recent targets."""
 
 import collections
 
 from vanillayoke.scheduling import program_slack
 
-# A program without a turn for so long has ended, as far as anybody can tell.
-# Seconds.
+# Programs idle for longer are regarded as ended.
 QUIET = 3.0
-# Late programs may pause long; their clocks are kept this long. Seconds.
+# How long the state of an idle program is kept, in case it continues.
 KEPT = 120.0
 
 
-class Clocks:
-    """The clocks of the programs whose home this instance is."""
+class ProgramTracker:
+    """Tracks the programs that this instance coordinates."""
 
     def __init__(self) -> None:
         self._clocks: collections.OrderedDict[
             str, program_slack.DelayTracker
         ] = collections.OrderedDict()
         self._routes: dict[str, str] = {}
-        # The targets that the last turns ran at, by program and session; that
-        # of the program's last turn stands under the session ''.
+        # The target of the last turn by program and session; the session ''
+        # stands for the program's last turn in any session.
         self._targets: dict[str, dict[str, str]] = {}
         self._shares: dict[str, program_slack.IdleTimeRatio] = {}
 
-    def arrive(
+    def start_turn(
         self,
         program: str,
         session: str,
@@ -32,7 +31,7 @@
         time_left: float,
         now: float,
     ) -> program_slack.Slack:
-        """Note a turn and return what is left to its line."""
+        """Record the start of a turn; return the slack of its session."""
         clock = self._clocks.get(program)
         if clock is None:
             clock = program_slack.DelayTracker(session, now, time_left)
@@ -44,30 +43,30 @@
             session, now, self._find_share(route).value
         )
 
-    def lose(
+    def record_delay(
         self, program: str, session: str, seconds: float, now: float
     ) -> None:
-        """Note what a turn lost to waiting."""
+        """Record the time that a turn lost to waiting."""
         clock = self._clocks.get(program)
         if clock is not None:
             clock.record_delay(session, seconds, now)
 
-    def place(self, program: str, session: str, target: str) -> None:
-        """Note where a turn has ended whole."""
+    def record_target(self, program: str, session: str, target: str) -> None:
+        """Record the target at which a turn was completed."""
         if program in self._clocks:
             known = self._targets.setdefault(program, {})
             known[session] = known[''] = target
 
     def find_target(self, program: str, session: str) -> str | None:
-        """Return the target that has most of a line's prompt.
+        """Return the target that caches most of a session's prompt.
 
-        A new line begins with the prompt of the one that started it.
+        A new session begins with the prompt of the one that started it.
         """
         known = self._targets.get(program, {})
         return known.get(session) or known.get('')
 
     def prune(self, now: float) -> None:
-        """Learn from the programs that have ended and forget them."""
+        """Learn from the programs that have ended, and drop old ones."""
         for program, clock in list(self._clocks.items()):
             quiet = now - clock.last_active_at
             if quiet < QUIET:
--- a/libs/gateway/vanillayoke/gateway/turns.py
+++ b/libs/gateway/vanillayoke/gateway/turns.py
@@ -166,7 +166,7 @@
             program.time_left,
             not progress.route.keeps_history,
         )
-        found = self._context.reservations.reserve_here(question)
+        found = self._context.reservations.reserve_locally(question)
         asked = 0
         while found is None:
             self._refuse_if_isolated()
@@ -180,7 +180,7 @@
                 await self._store_waiting.wait(progress, error)
         if not found.is_granted:
             raise refusals.RefusalError(refusals.Reason.BUDGET_SPENT)
-        progress.coordinator = found.keeper
+        progress.coordinator = found.coordinator
         progress.slack = found.slack
         progress.affinity_target = found.target
         progress.slack_updated_at = self._context.timers.now()
--- a/libs/gateway/vanillayoke/gateway/verdict_news.py
+++ b/libs/gateway/vanillayoke/gateway/verdict_news.py
@@ -3,9 +3,9 @@
 import random
 
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import instrumentation as instrumentation_module
 from vanillayoke.gateway import peers as peers_module
+from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import shared_health as shared_health_module
 
 # How many others an instance tells of a verdict that is new to it: with four,
@@ -20,7 +20,7 @@
         self,
         instance: str,
         verdicts: shared_health_module.SharedHealth,
-        list_homes: homes_ranking.ListMembers,
+        list_homes: rendezvous.ListPeers,
         timer_service: timers.TimerService,
         source: random.Random,
         instrumentation: instrumentation_module.Instrumentation,
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from tests.gateway import site_fixtures
-from vanillayoke.gateway import homes as homes_module
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
+from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.testing import fixtures
 
 BUDGET = 175
@@ -103,7 +103,7 @@
     await _use_a_part(site.instances['i1'], program)
     until = site.timers.now() + 1.0
     for name in ('i2', 'i4'):
-        holders = site.instances[name]._reservations._holders
+        holders = site.instances[name]._reservations._transfers
         case.assertTrue(await holders.collect(program, until))
     answers = await _send_turns(site, program)
     case.assertEqual([200] * 3, [answer.status for answer in answers])
@@ -117,7 +117,7 @@
     """
     program = site_fixtures.find_program_with_ranking('i1', 'i2')
     await site.start(2)
-    await asyncio.sleep(homes_module.NEWCOMER)
+    await asyncio.sleep(reservations_module.JOIN_PERIOD_SECONDS)
     await _use_a_part(site.instances['i2'], program)
     members = site.instances['i1']._members
     failed = [one for one in members.list_homes() if one.instance == 'i2']
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -251,7 +251,7 @@
     sender._receive = lambda data, address: (
         receive(data, address) if data[:1] == peers.MEMBERSHIP else None
     )
-    collect = site.instances['i1']._reservations._holders.collect
+    collect = site.instances['i1']._reservations._transfers.collect
     until = site.timers.now() + 2.0
     case.assertTrue(await collect(program, until))
     with case.assertRaises(store_client.StoreRefusedError):
@@ -272,7 +272,7 @@
         if data[:1] == peers.MEMBERSHIP
         else late.append((data, address))
     )
-    collect = site.instances['i1']._reservations._holders.collect
+    collect = site.instances['i1']._reservations._transfers.collect
     with case.assertRaises(store_client.StoreRefusedError):
         await collect('new', site.timers.now() + 2.0)
     sender._receive = receive
@@ -296,7 +296,7 @@
             asked.append(data)
 
     sender._receive = count
-    collect = site.instances['i1']._reservations._holders.collect
+    collect = site.instances['i1']._reservations._transfers.collect
     until = site.timers.now() + 2.0
     await asyncio.gather(
         *(collect('new', until) for _ in range(50)), return_exceptions=True
@@ -320,7 +320,7 @@
     other = site.instances['i2']._ledger
     until = site.timers.now() + 1.0
     await other.reserve(program, BUDGET, 'b', MOST, until, MOST)
-    collect = site.instances['i2']._reservations._holders.collect
+    collect = site.instances['i2']._reservations._transfers.collect
     case.assertTrue(await collect(program, site.timers.now() + 1.0))
     case.assertEqual(MOST, other.withdraw(program))
 
@@ -334,7 +334,7 @@
     program = site_fixtures.find_program_with_ranking('i1', 'i2', 'i3')
     site.instances['i1']._ledger.deposit(program, MOST)
     tokens = site.instances['i1']._ledger.withdraw(program)
-    collect = site.instances['i3']._reservations._holders.collect
+    collect = site.instances['i3']._reservations._transfers.collect
     found = asyncio.ensure_future(collect(program, site.timers.now() + 2.0))
     await asyncio.sleep(0.05)
     site.instances['i2']._ledger.deposit(program, tokens)
@@ -350,7 +350,7 @@
     """
     await site.start(2)
     ledgers = [site.instances[name]._ledger for name in ('i1', 'i2')]
-    collect = site.instances['i1']._reservations._holders.collect
+    collect = site.instances['i1']._reservations._transfers.collect
     until = site.timers.now() + 2.0
     for _ in range(2):
         ledgers[1].deposit('new', MOST)
@@ -400,9 +400,13 @@
     homes = site.instances['i1']._reservations
     site.instances['i1']._ledger.deposit('new', MOST)
     question = peer_messages.Reserve('new', MOST, 'a', MOST)
-    case.assertIsInstance(homes.answer(question), peer_messages.Granted)
-    homes.answer(peer_messages.Settle('new', 'a', 0))
-    case.assertEqual(peer_messages.Unable(False), homes.answer(question))
+    case.assertIsInstance(
+        homes.handle_request(question), peer_messages.Granted
+    )
+    homes.handle_request(peer_messages.Settle('new', 'a', 0))
+    case.assertEqual(
+        peer_messages.Unable(False), homes.handle_request(question)
+    )
     case.assertEqual(MOST, site.instances['i1']._ledger.withdraw('new'))
 
 
@@ -417,7 +421,7 @@
     await ledger.reserve('new', 400, 'a', MOST, until)
     ledger.settle('new', 'a', 0)
     site.store.lost_replies = 1
-    back = asyncio.ensure_future(ledger.give_back(site.timers.now() + 3.0))
+    back = asyncio.ensure_future(ledger.return_grants(site.timers.now() + 3.0))
     while site.store.lost_replies:
         case.assertFalse(back.done())
         await asyncio.sleep(0.001)
