--- a/libs/bench/vanillayoke/bench/membership.py
+++ b/libs/bench/vanillayoke/bench/membership.py
@@ -107,7 +107,9 @@
     cluster: membership_cluster.Cluster,
 ) -> float | None:
     version = 1
-    cluster.nodes[0].members.publish_news(messages.ConfigurationNews(version))
+    cluster.nodes[0].members.publish_news(
+        messages.ConfigurationUpdate(version)
+    )
     return await cluster.wait_until(
         lambda: all(
             node.members.configuration_heard == version
--- a/libs/bench/vanillayoke/bench/tables.py
+++ b/libs/bench/vanillayoke/bench/tables.py
@@ -101,7 +101,8 @@
     bound = LONGEST_HOLD if rows <= MOST_INSTANCES else None
     yield Figure('first reading of instances', rows, taken, bound)
     taken = _measure(
-        lambda: homes_ranking.find_home('program', known.list_homes()), ROUNDS
+        lambda: homes_ranking.find_home('program', known.list_eligible()),
+        ROUNDS,
     )
     yield Figure('home of a program', rows, taken, None)
 
--- a/libs/cluster/vanillayoke/cluster/membership.py
+++ b/libs/cluster/vanillayoke/cluster/membership.py
@@ -11,7 +11,7 @@
 import random
 
 from vanillayoke.cluster import membership_events
-from vanillayoke.cluster import membership_news
+from vanillayoke.cluster import membership_gossip
 from vanillayoke.cluster import membership_packets
 from vanillayoke.cluster import membership_probes
 from vanillayoke.cluster import membership_table
@@ -38,8 +38,8 @@
         self._source = source
         self._table = membership_table.Table()
         self._plan = membership_probes.ProbePlan(source)
-        self._queue = membership_news.NewsQueue()
-        self._known = membership_news.KnownNews()
+        self._queue = membership_gossip.GossipQueue()
+        self._known = membership_gossip.KnownUpdates()
         self._composer = membership_packets.Composer(
             self._table, self._known, self._queue
         )
@@ -51,7 +51,7 @@
         self._next_probe = now + source.random() * settings.interval
         self._next_forget = now + FORGET_INTERVAL
         self._actions: list[membership_events.Action] = []
-        self._queue.put(messages.MemberNews(me))
+        self._queue.put(messages.MemberUpdate(me))
 
     def decide(
         self, event: membership_events.Event, now: float
@@ -92,7 +92,7 @@
         return [self.me, *self._table.list_members()]
 
     @property
-    def configuration(self) -> int:
+    def configuration_version(self) -> int:
         """The highest configuration version heard of."""
         return self._known.configuration
 
@@ -187,7 +187,7 @@
         if entry.is_alive:
             suspected = messages.State.SUSPECTED
             self._merge_member(entry.member._replace(state=suspected), now)
-        elif not entry.is_heard:
+        elif not entry.is_confirmed:
             failed = messages.State.FAILED
             self._merge_member(entry.member._replace(state=failed), now)
 
@@ -195,7 +195,7 @@
         self, member: messages.Member, sequence: int, attempt: int
     ) -> None:
         entry = self._table.find(member.instance)
-        introduce = entry is not None and not entry.is_heard
+        introduce = entry is not None and not entry.is_confirmed
         ping = self._make_ping(sequence, member.instance, attempt, introduce)
         self._act(membership_events.Send(member.peer_address, ping))
 
@@ -212,8 +212,8 @@
             self.me.peer_address,
             attempt,
             introduce,
-            self._table.heard,
-            self._table.live - self._table.heard,
+            self._table.confirmed,
+            self._table.live - self._table.confirmed,
             self._composer.compose(receiver, self.me if introduce else None),
         )
 
@@ -221,7 +221,7 @@
 
     def _receive(self, message: messages.Message, now: float) -> None:
         incarnation = self.me.incarnation
-        for news in messages.decode_news(message.news):
+        for news in messages.decode_updates(message.updates):
             self._learn(news, now)
         refuted = self.me.incarnation != incarnation
         match message:
@@ -247,13 +247,13 @@
             self._ask_to_introduce(ping)
 
     def _judge_need(self, ping: messages.Ping) -> membership_packets.Need:
-        heard = self._table.heard
-        missing = max(ping.unheard, heard - ping.known)
+        heard = self._table.confirmed
+        missing = max(ping.unconfirmed, heard - ping.confirmed)
         if missing > heard * MUCH_SHARE:
-            return membership_packets.Need.MUCH
+            return membership_packets.Need.MANY
         if missing > 0:
-            return membership_packets.Need.SOMETHING
-        return membership_packets.Need.NOTHING
+            return membership_packets.Need.SOME
+        return membership_packets.Need.NONE
 
     def _ask_to_introduce(self, ping: messages.Ping) -> None:
         self._sequence += 1
@@ -267,7 +267,7 @@
         relay = self._relays.take(ack.sequence)
         if relay is None:
             return
-        answer = messages.Ack(relay.sequence, ack.sender, ack.news)
+        answer = messages.Ack(relay.sequence, ack.sender, ack.updates)
         self._act(membership_events.Send(relay.reply_to, answer))
 
     def _relay(self, request: messages.PingRequest, now: float) -> None:
@@ -283,12 +283,12 @@
 
     # News
 
-    def _learn(self, news: messages.News, now: float) -> None:
-        if isinstance(news, messages.MemberNews):
+    def _learn(self, news: messages.Update, now: float) -> None:
+        if isinstance(news, messages.MemberUpdate):
             self._learn_member(news.member, now)
         elif self._known.learn(news):
             self._queue.put(news)
-            self._act(membership_events.Heard(news))
+            self._act(membership_events.UpdateLearned(news))
 
     def _learn_member(self, news: messages.Member, now: float) -> None:
         if news.instance == self.me.instance:
@@ -307,10 +307,10 @@
         if change is None:
             return
         entry = self._table.find(news.instance)
-        if entry.is_heard and news.state is messages.State.SUSPECTED:
+        if entry.is_confirmed and news.state is messages.State.SUSPECTED:
             self._table.suspect(entry, now + self._suspicion_time())
-        if entry.is_heard:
-            self._queue.put(messages.MemberNews(news))
+        if entry.is_confirmed:
+            self._queue.put(messages.MemberUpdate(news))
         self._place(news)
         self._act(membership_events.MemberChanged(change.before, change.after))
 
@@ -332,7 +332,7 @@
         if not membership_table.is_newer(news, self.me):
             return
         self.me = self.me._replace(incarnation=news.incarnation + 1)
-        self._queue.put(messages.MemberNews(self.me))
+        self._queue.put(messages.MemberUpdate(self.me))
         self._act(membership_events.Refuted(self.me.incarnation))
 
     # The platform's list, leaving, forgetting
@@ -359,7 +359,7 @@
         self.me = self.me._replace(
             incarnation=self.me.incarnation + 1, state=state
         )
-        self._queue.put(messages.MemberNews(self.me))
+        self._queue.put(messages.MemberUpdate(self.me))
 
     def _depart(self) -> None:
         self._change_own(messages.State.LEFT)
--- a/libs/cluster/vanillayoke/cluster/membership_events.py
+++ b/libs/cluster/vanillayoke/cluster/membership_events.py
@@ -36,7 +36,7 @@
 class Published(typing.NamedTuple):
     """This instance has news for the others."""
 
-    news: messages.News
+    update: messages.Update
 
 
 class Leaving(typing.NamedTuple):
@@ -79,10 +79,10 @@
     after: messages.Member
 
 
-class Heard(typing.NamedTuple):
+class UpdateLearned(typing.NamedTuple):
     """News other than of members came or was published."""
 
-    news: messages.News
+    update: messages.Update
 
 
 class Refuted(typing.NamedTuple):
@@ -91,4 +91,4 @@
     incarnation: int
 
 
-Action = Send | Reconnect | MemberChanged | Heard | Refuted
+Action = Send | Reconnect | MemberChanged | UpdateLearned | Refuted
--- a/libs/cluster/vanillayoke/cluster/membership_news.py
+++ b/libs/cluster/vanillayoke/cluster/membership_gossip.py
@@ -16,7 +16,7 @@
 Subject = tuple[str, str]
 
 
-class NewsQueue:
+class GossipQueue:
     """Picks the news for each message within a number of bytes.
 
     Each piece of news is sent a few times the logarithm of the number of
@@ -32,12 +32,12 @@
     def __len__(self) -> int:
         return sum(len(waiting) for waiting in self._rounds)
 
-    def put(self, news: messages.News) -> None:
+    def put(self, news: messages.Update) -> None:
         """Queue news in place of older news of its subject."""
         subject = get_subject(news)
         for waiting in self._rounds:
             waiting.pop(subject, None)
-        self._rounds[0][subject] = messages.encode_news(news)
+        self._rounds[0][subject] = messages.encode_update(news)
 
     def take(self, budget: int, members: int) -> list[msgspec.Raw]:
         """Return the news that were sent least, newest first."""
@@ -69,40 +69,40 @@
         return encoded
 
 
-def get_subject(news: messages.News) -> Subject:
+def get_subject(news: messages.Update) -> Subject:
     """Return what news is about; later news of it replaces earlier."""
     match news:
-        case messages.MemberNews(member):
+        case messages.MemberUpdate(member):
             return ('member', member.instance)
-        case messages.ConfigurationNews():
+        case messages.ConfigurationUpdate():
             return ('configuration', '')
-        case messages.TargetNews(target):
+        case messages.TargetUpdate(target):
             return ('target', target)
-        case messages.FencedNews(_, incarnation):
+        case messages.FencedUpdate(_, incarnation):
             return ('fenced', incarnation)
     typing.assert_never(news)
 
 
-class KnownNews:
+class KnownUpdates:
     """What this instance knows besides the members."""
 
     def __init__(self) -> None:
         self.configuration = 0
-        self._targets: dict[str, messages.TargetNews] = {}
-        self._fenced: dict[str, messages.FencedNews] = {}
+        self._targets: dict[str, messages.TargetUpdate] = {}
+        self._fenced: dict[str, messages.FencedUpdate] = {}
 
-    def learn(self, news: messages.News) -> bool:
+    def learn(self, news: messages.Update) -> bool:
         """Take news over; return whether it was new."""
         match news:
-            case messages.ConfigurationNews(version):
+            case messages.ConfigurationUpdate(version):
                 return self._learn_configuration(version)
-            case messages.TargetNews():
+            case messages.TargetUpdate():
                 return self._learn_target(news)
-            case messages.FencedNews():
+            case messages.FencedUpdate():
                 return self._learn_fenced(news)
         return False
 
-    def find_fenced(self, instance: str) -> messages.FencedNews | None:
+    def find_fenced(self, instance: str) -> messages.FencedUpdate | None:
         """Return the last news that an instance's lease was taken."""
         for news in reversed(self._fenced.values()):
             if news.instance == instance:
@@ -115,7 +115,7 @@
         self.configuration = version
         return True
 
-    def _learn_target(self, news: messages.TargetNews) -> bool:
+    def _learn_target(self, news: messages.TargetUpdate) -> bool:
         known = self._targets.pop(news.target, None)
         if known is not None and not _is_later(news, known):
             self._targets[news.target] = known
@@ -125,7 +125,7 @@
             del self._targets[next(iter(self._targets))]
         return True
 
-    def _learn_fenced(self, news: messages.FencedNews) -> bool:
+    def _learn_fenced(self, news: messages.FencedUpdate) -> bool:
         if news.incarnation in self._fenced:
             return False
         self._fenced[news.incarnation] = news
@@ -134,7 +134,9 @@
         return True
 
 
-def _is_later(news: messages.TargetNews, known: messages.TargetNews) -> bool:
+def _is_later(
+    news: messages.TargetUpdate, known: messages.TargetUpdate
+) -> bool:
     # Every instance that uses a target sees it fail. If each observation
     # counted as news, 400 of them would push all other news out of the
     # packets; a repeated observation counts only after a while.
--- a/libs/cluster/vanillayoke/cluster/membership_packets.py
+++ b/libs/cluster/vanillayoke/cluster/membership_packets.py
@@ -4,28 +4,28 @@
 
 import msgspec
 
-from vanillayoke.cluster import membership_news
+from vanillayoke.cluster import membership_gossip
 from vanillayoke.cluster import membership_table
 from vanillayoke.cluster import messages
 
-NEWS_BUDGET = 700
-REPAIR_BUDGET = 1500
-JOIN_BUDGET = 3000
+UPDATE_BUDGET_BYTES = 700
+REPAIR_BUDGET_BYTES = 1500
+JOIN_BUDGET_BYTES = 3000
 
 
 class Need(enum.Enum):
     """How much of the table the receiver of a message lacks."""
 
-    NOTHING = 0
-    SOMETHING = 1
-    MUCH = 2
+    NONE = 0
+    SOME = 1
+    MANY = 2
 
 
-_FILLER = {Need.NOTHING: 2, Need.SOMETHING: 12, Need.MUCH: 80}
+_FILLER = {Need.NONE: 2, Need.SOME: 12, Need.MANY: 80}
 _BUDGETS = {
-    Need.NOTHING: NEWS_BUDGET,
-    Need.SOMETHING: REPAIR_BUDGET,
-    Need.MUCH: JOIN_BUDGET,
+    Need.NONE: UPDATE_BUDGET_BYTES,
+    Need.SOME: REPAIR_BUDGET_BYTES,
+    Need.MANY: JOIN_BUDGET_BYTES,
 }
 
 
@@ -35,8 +35,8 @@
     def __init__(
         self,
         table: membership_table.Table,
-        known: membership_news.KnownNews,
-        queue: membership_news.NewsQueue,
+        known: membership_gossip.KnownUpdates,
+        queue: membership_gossip.GossipQueue,
     ) -> None:
         self._table = table
         self._known = known
@@ -46,7 +46,7 @@
         self,
         receiver: str,
         me: messages.Member | None = None,
-        need: Need = Need.NOTHING,
+        need: Need = Need.NONE,
     ) -> list[msgspec.Raw]:
         """Return the news for a receiver, within a number of bytes.
 
@@ -61,26 +61,26 @@
     def _list_needed(
         self, receiver: str, me: messages.Member | None
     ) -> list[msgspec.Raw]:
-        needed: list[messages.News] = []
+        needed: list[messages.Update] = []
         if me is not None:
-            needed.append(messages.MemberNews(me))
+            needed.append(messages.MemberUpdate(me))
         # Only the member itself can refute a suspicion, so it is always told
         # what it is held for, however long ago the news went round.
         entry = self._table.find(receiver)
-        if entry and entry.is_heard and _is_refutable(entry.member):
-            needed.append(messages.MemberNews(entry.member))
+        if entry and entry.is_confirmed and _is_refutable(entry.member):
+            needed.append(messages.MemberUpdate(entry.member))
         fenced = self._known.find_fenced(receiver)
         if fenced is not None:
             needed.append(fenced)
         if self._known.configuration > 0:
             version = self._known.configuration
-            needed.append(messages.ConfigurationNews(version))
-        return [messages.encode_news(news) for news in needed]
+            needed.append(messages.ConfigurationUpdate(version))
+        return [messages.encode_update(news) for news in needed]
 
     def _fill(self, budget: int, count: int) -> list[msgspec.Raw]:
         filled = []
         for member in self._table.cycle(count):
-            raw = messages.encode_news(messages.MemberNews(member))
+            raw = messages.encode_update(messages.MemberUpdate(member))
             budget -= len(bytes(raw))
             if budget < 0:
                 break
--- a/libs/cluster/vanillayoke/cluster/membership_table.py
+++ b/libs/cluster/vanillayoke/cluster/membership_table.py
@@ -5,8 +5,8 @@
 
 from vanillayoke.cluster import messages
 
-FORGET_LEFT = 120.0
-FORGET_FAILED = 600.0
+LEFT_RETENTION_SECONDS = 120.0
+FAILED_RETENTION_SECONDS = 600.0
 LISTED_INCARNATION = 0
 
 _GONE = (messages.State.FAILED, messages.State.LEFT)
@@ -25,7 +25,7 @@
         self.fails_at = math.inf
 
     @property
-    def is_heard(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Whether any instance ever heard of it."""
         return self.member.incarnation > LISTED_INCARNATION
 
@@ -64,7 +64,7 @@
         self._suspected: dict[str, Entry] = {}
         self._cycle: list[str] = []
         self.live = 0
-        self.heard = 0
+        self.confirmed = 0
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -103,7 +103,7 @@
     def _count(self, entry: Entry, change: int) -> None:
         if entry.member.state not in _GONE:
             self.live += change
-            self.heard += change if entry.is_heard else 0
+            self.confirmed += change if entry.is_confirmed else 0
 
     def suspect(self, entry: Entry, fails_at: float) -> None:
         """Give a suspected member until a time to refute it."""
@@ -155,7 +155,7 @@
             if not self._cycle:
                 self._cycle = list(self._entries)
             entry = self._entries.get(self._cycle.pop())
-            if entry is not None and entry.is_heard and entry.is_alive:
+            if entry is not None and entry.is_confirmed and entry.is_alive:
                 chosen.append(entry.member)
         return chosen
 
@@ -164,7 +164,7 @@
     age = now - entry.since
     match entry.member.state:
         case messages.State.LEFT:
-            return age >= FORGET_LEFT
+            return age >= LEFT_RETENTION_SECONDS
         case messages.State.FAILED:
-            return age >= FORGET_FAILED and not listed
+            return age >= FAILED_RETENTION_SECONDS and not listed
     return False
--- a/libs/cluster/vanillayoke/cluster/messages.py
+++ b/libs/cluster/vanillayoke/cluster/messages.py
@@ -36,13 +36,15 @@
     state: State = State.ALIVE
 
 
-class MemberNews(msgspec.Struct, frozen=True, array_like=True, tag='m'):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True, tag='m'):
     """A member changed its state."""
 
     member: Member
 
 
-class ConfigurationNews(msgspec.Struct, frozen=True, array_like=True, tag='c'):
+class ConfigurationUpdate(
+    msgspec.Struct, frozen=True, array_like=True, tag='c'
+):
     """An instance has seen an accepted configuration of this version."""
 
     version: int
@@ -56,7 +58,7 @@
     FAILED = 2
 
 
-class TargetNews(msgspec.Struct, frozen=True, array_like=True, tag='t'):
+class TargetUpdate(msgspec.Struct, frozen=True, array_like=True, tag='t'):
     """A target leaves, failed or is back.
 
     ``observed`` is the observer's hybrid time in wall milliseconds: of two
@@ -68,14 +70,14 @@
     observed: int
 
 
-class FencedNews(msgspec.Struct, frozen=True, array_like=True, tag='f'):
+class FencedUpdate(msgspec.Struct, frozen=True, array_like=True, tag='f'):
     """An instance's lease was taken; ``incarnation`` is that of the lease."""
 
     instance: str
     incarnation: str
 
 
-News = MemberNews | ConfigurationNews | TargetNews | FencedNews
+Update = MemberUpdate | ConfigurationUpdate | TargetUpdate | FencedUpdate
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag='P'):
@@ -92,9 +94,9 @@
     reply_to: str
     attempt: int
     introduce: bool
-    known: int
-    unheard: int
-    news: list[msgspec.Raw] = []
+    confirmed: int
+    unconfirmed: int
+    updates: list[msgspec.Raw] = []
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag='A'):
@@ -102,7 +104,7 @@
 
     sequence: int
     sender: str
-    news: list[msgspec.Raw] = []
+    updates: list[msgspec.Raw] = []
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag='R'):
@@ -113,14 +115,14 @@
     reply_to: str
     instance: str
     address: str
-    news: list[msgspec.Raw] = []
+    updates: list[msgspec.Raw] = []
 
 
 class Notice(msgspec.Struct, frozen=True, array_like=True, tag='N'):
     """Tell news that cannot wait for the next ping; no answer is due."""
 
     sender: str
-    news: list[msgspec.Raw] = []
+    updates: list[msgspec.Raw] = []
 
 
 Message = Ping | Ack | PingRequest | Notice
@@ -135,7 +137,7 @@
 
 _ENCODER = msgspec.msgpack.Encoder()
 _PACKET_DECODER = msgspec.msgpack.Decoder(Packet)
-_NEWS_DECODER = msgspec.msgpack.Decoder(News)
+_NEWS_DECODER = msgspec.msgpack.Decoder(Update)
 
 
 def encode_packet(packet: Packet) -> bytes:
@@ -151,12 +153,12 @@
         return None
 
 
-def encode_news(news: News) -> msgspec.Raw:
+def encode_update(news: Update) -> msgspec.Raw:
     """Return news as it stands in a packet."""
     return msgspec.Raw(_ENCODER.encode(news))
 
 
-def decode_news(encoded: typing.Iterable[msgspec.Raw]) -> list[News]:
+def decode_updates(encoded: typing.Iterable[msgspec.Raw]) -> list[Update]:
     """Return the news that this version understands.
 
     During a rolling upgrade newer instances may send kinds of news that this
--- a/libs/gateway/vanillayoke/gateway/access.py
+++ b/libs/gateway/vanillayoke/gateway/access.py
@@ -50,7 +50,7 @@
         """Refuse all keys, if any may have been taken away since."""
         bounds = self._get_bounds()
         age = self._timers.now() - self._confirmed_at
-        if bounds.is_revocation_strict and age > bounds.revocation:
+        if bounds.is_revocation_strict and age > bounds.revocation_timeout:
             raise refusals.RefusalError(
                 refusals.Reason.UNCONFIRMED,
                 f'configuration {configuration.version} was confirmed'
--- a/libs/gateway/vanillayoke/gateway/availability.py
+++ b/libs/gateway/vanillayoke/gateway/availability.py
@@ -28,15 +28,15 @@
     """Takes how calls end and says what may be expected of the next."""
 
     def __init__(self) -> None:
-        self.is_away = False
-        self.away_since = float('-inf')
-        self.returned_at = float('-inf')
+        self.is_unavailable = False
+        self.unavailable_since = float('-inf')
+        self.recovered_at = float('-inf')
         # When a call was last answered.
         self._answered_at = float('-inf')
         # When parts were last seen to fail together.
-        self.disturbed_at = float('-inf')
+        self.correlated_failure_at = float('-inf')
         # How long the last outages lasted, in seconds.
-        self.outages: collections.deque[float] = collections.deque(
+        self.outage_durations: collections.deque[float] = collections.deque(
             maxlen=MOST_OUTAGES
         )
         # The parts that failed since the last success, and those that did
@@ -47,25 +47,25 @@
             collections.OrderedDict()
         )
 
-    def note_success(self, part: str, now: float) -> bool:
+    def record_success(self, part: str, now: float) -> bool:
         """Take that a part answered; say if the store is back with it."""
         self._answered_at = now
         self._known_bad.update(dict.fromkeys(self._failed, now))
         self._known_bad.pop(part, None)
         self._failed.clear()
         self._failed_at.pop(part, None)
-        if not self.is_away:
+        if not self.is_unavailable:
             return False
-        self.is_away = False
-        self.returned_at = now
-        self.outages.append(now - self.away_since)
+        self.is_unavailable = False
+        self.recovered_at = now
+        self.outage_durations.append(now - self.unavailable_since)
         return True
 
-    def note_failure(
+    def record_failure(
         self,
         part: str,
         now: float,
-        is_rate: bool = False,
+        is_rate_limited: bool = False,
         began: float | None = None,
     ) -> bool:
         """Take that a part failed; say if the store is away with it.
@@ -74,7 +74,7 @@
         disturbance for those who write there. ``began`` is when the call was
         sent, now if it is left out.
         """
-        if not is_rate:
+        if not is_rate_limited:
             self._note_part(part, now)
         if began is not None and began < self._answered_at:
             # Calls into a silence run out of patience for seconds behind the
@@ -85,19 +85,19 @@
             self._known_bad[part] = now
             return False
         self._failed.add(part)
-        if self.is_away or len(self._failed) < AWAY_PARTS:
+        if self.is_unavailable or len(self._failed) < AWAY_PARTS:
             return False
-        self.is_away = True
-        self.away_since = now
+        self.is_unavailable = True
+        self.unavailable_since = now
         return True
 
-    def is_suspect(self, part: str, now: float) -> bool:
+    def has_recent_failure(self, part: str, now: float) -> bool:
         """Say whether a part failed a moment ago."""
         return now - self._failed_at.get(part, float('-inf')) < SUSPICION
 
-    def get_age(self, now: float) -> float:
+    def get_outage_duration(self, now: float) -> float:
         """Return for how long the store has been away, 0 if it is not."""
-        return now - self.away_since if self.is_away else 0.0
+        return now - self.unavailable_since if self.is_unavailable else 0.0
 
     def _note_part(self, part: str, now: float) -> None:
         self._failed_at[part] = now
@@ -105,4 +105,4 @@
         while now - next(iter(self._failed_at.values())) > AGREEMENT:
             self._failed_at.popitem(last=False)
         if len(self._failed_at) > 1:
-            self.disturbed_at = now
+            self.correlated_failure_at = now
--- a/libs/gateway/vanillayoke/gateway/calls.py
+++ b/libs/gateway/vanillayoke/gateway/calls.py
@@ -182,7 +182,7 @@
             program=call.program.name if call.program else None,
             previous=call.previous_turn or None,
             budget=call.program.budget if call.program else None,
-            most=call.most_tokens or None,
+            most=call.max_tokens or None,
             route=progress.route.name if progress.route else None,
             target=progress.target,
             outcome=outcome,
--- a/libs/gateway/vanillayoke/gateway/catalog.py
+++ b/libs/gateway/vanillayoke/gateway/catalog.py
@@ -10,7 +10,7 @@
 
 # How long after the store's return a target whose row is missing may be
 # back; rows lapse while the store can't take heartbeats. Seconds.
-LAPSE_GRACE = 2.2
+LAPSE_GRACE_SECONDS = 2.2
 
 
 class Catalog:
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self.configuration: messages.Configuration | None = None
-        self.has_targets = False
+        self.has_read_targets = False
         self._targets: dict[str, messages.Target] = {}
         self._versions: dict[str, int] = {}
         self._missing: dict[str, float] = {}
@@ -77,7 +77,7 @@
         known = self._targets.get(target.name)
         return known is not None and known.started != target.started
 
-    def miss_target(
+    def mark_target_missing(
         self, name: str, version: int, until: float | None
     ) -> bool:
         """Note that a target's row has gone.
@@ -108,8 +108,8 @@
             seen.add(target.name)
             self.put_target(target, row_version)
         for name in set(self._targets) - seen:
-            self.miss_target(name, version, until)
-        self.has_targets = True
+            self.mark_target_missing(name, version, until)
+        self.has_read_targets = True
 
     def expire(self, now: float) -> list[str]:
         """Drop the targets that were missing for too long; name them."""
@@ -127,7 +127,7 @@
         return found
 
     @property
-    def names(self) -> typing.Collection[str]:
+    def target_names(self) -> typing.Collection[str]:
         """The names of all known targets."""
         return self._targets.keys()
 
--- a/libs/gateway/vanillayoke/gateway/dialect.py
+++ b/libs/gateway/vanillayoke/gateway/dialect.py
@@ -50,12 +50,12 @@
 
     @abc.abstractmethod
     def encode_call(
-        self, call: messages.Call, sending: messages.Sending
+        self, call: messages.Call, sending: messages.ForwardOptions
     ) -> headers.Headers:
         """Return the fields that go to a target."""
 
     @abc.abstractmethod
-    def decode_answer(self, head: client.Head) -> messages.AnswerFacts:
+    def decode_answer(self, head: client.Head) -> messages.ResponseMetadata:
         """Return what the head of a target's answer says."""
 
     @abc.abstractmethod
--- a/libs/gateway/vanillayoke/gateway/directory.py
+++ b/libs/gateway/vanillayoke/gateway/directory.py
@@ -5,13 +5,13 @@
 from vanillayoke.cluster import messages as cluster_messages
 
 # Callers take at most so many addresses.
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 # Instances of the caller's own zone are named alone if there are so many:
 # bytes between zones cost, and three leave two when one fails.
 ENOUGH_NEAR = 3
 # How long callers may keep an answer. Short: an instance that stops is left
 # by its callers only when they ask again. Seconds.
-LIFETIME = 1.0
+TTL_SECONDS = 1.0
 
 
 def choose_addresses(
@@ -35,4 +35,4 @@
             break
         shuffle(group)
         found += group
-    return found[:MOST_ADDRESSES]
+    return found[:MAX_ADDRESSES]
--- a/libs/gateway/vanillayoke/gateway/dispatch.py
+++ b/libs/gateway/vanillayoke/gateway/dispatch.py
@@ -162,20 +162,20 @@
         progress: Progress,
         target: messages.Target,
         last_event: bytes | None = None,
-    ) -> messages.Sending:
+    ) -> messages.ForwardOptions:
         """Return what to tell a target with the request.
 
         ``last_event`` is the one that a stream goes on behind.
         """
         now = self._parts.timers.now()
         progress.level = self._find_level(progress)
-        return messages.Sending(
+        return messages.ForwardOptions(
             target.name,
             progress.until - now,
             progress.level,
             last_event,
             organisation=progress.organisation_name,
-            hides_key=progress.hides_key,
+            strips_key=progress.hides_key,
         )
 
     def _find_level(self, progress: Progress) -> int | None:
@@ -226,11 +226,11 @@
         near, far = occupancy.choose_candidates(
             places, view, wish, passed, now, draw
         )
-        loads = await self._parts.scouts.count(near)
+        loads = await self._parts.scouts.query(near)
         now = self._parts.timers.now()
         best = occupancy.choose_counted(near, loads, view, wish, now, draw)
         if best is None or not occupancy.is_light(best, loads, view, wish):
-            loads |= await self._parts.scouts.count(far)
+            loads |= await self._parts.scouts.query(far)
             now = self._parts.timers.now()
             found = [*near, *far]
             best = occupancy.choose_counted(
--- a/libs/gateway/vanillayoke/gateway/endpoints.py
+++ b/libs/gateway/vanillayoke/gateway/endpoints.py
@@ -52,7 +52,7 @@
         if not addresses:
             responder.send(503, [], b'')
             return
-        body = self._dialect.encode_addresses(addresses, directory.LIFETIME)
+        body = self._dialect.encode_addresses(addresses, directory.TTL_SECONDS)
         kind = (b'Content-Type', b'application/json')
         responder.send(200, [kind], body)
 
--- a/libs/gateway/vanillayoke/gateway/feeds.py
+++ b/libs/gateway/vanillayoke/gateway/feeds.py
@@ -14,7 +14,7 @@
 RETRY_PAUSE = 0.3
 
 
-class Follower:
+class TableFeed:
     """Follows one table and hands over what it reads.
 
     ``on_reading`` gets a whole reading, ``on_change`` each changed row. The
@@ -37,7 +37,7 @@
         self._on_reading = on_reading
         self._on_change = on_change
         self._on_current = on_current
-        self.has_read = asyncio.Event()
+        self.loaded = asyncio.Event()
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
@@ -47,16 +47,16 @@
                 if position is None:
                     position = await self._read()
                 position = await self._follow(position)
-            except store_module.HistoryGoneError:
+            except store_module.ChangesExpiredError:
                 position = None
             except store_module.StoreError:
-                await self._store.wait_open(RETRY_PAUSE)
+                await self._store.wait_before_retry(RETRY_PAUSE)
 
     async def _read(self) -> int:
         page = await self._store.read(self._table, '', READ_TIMEOUT)
         self._on_reading(page)
         self._on_current()
-        self.has_read.set()
+        self.loaded.set()
         return page.version
 
     async def _follow(self, position: int) -> int:
--- a/libs/gateway/vanillayoke/gateway/forwarding.py
+++ b/libs/gateway/vanillayoke/gateway/forwarding.py
@@ -5,8 +5,8 @@
 
 from vanillayoke.core import timers
 from vanillayoke.gateway import dialect as dialect_module
+from vanillayoke.gateway import load_queries
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import scouting
 from vanillayoke.scheduling import occupancy
 from vanillayoke.transport import client
 
@@ -43,7 +43,7 @@
         target: messages.Target,
         request: str,
         until: float,
-        scouts: scouting.Scouts,
+        scouts: load_queries.LoadQueries,
         pool: client.Pool,
         dialect: dialect_module.Dialect,
         view: occupancy.Occupancy,
@@ -70,7 +70,7 @@
     async def __aenter__(self) -> typing.Self:
         self.began = self._timers.now()
         self._view.begin(self.target.name)
-        self._scouts.begin(
+        self._scouts.record_start(
             self.target, self._request, self._until - self.began
         )
         self._view.note_trial(self.target.name, self.began)
@@ -83,7 +83,9 @@
         trace: object,
     ) -> None:
         self._view.end(self.target.name)
-        self._scouts.end(self.target, self._request, self._reported, self.pace)
+        self._scouts.record_end(
+            self.target, self._request, self._reported, self.pace
+        )
         if isinstance(error, asyncio.CancelledError):
             self._judge_silence()
         if self._connection is not None:
@@ -96,7 +98,10 @@
             self._view.note_outcome(self.target.name, False, now)
 
     async def send(
-        self, call: messages.Call, sending: messages.Sending, is_young: bool
+        self,
+        call: messages.Call,
+        sending: messages.ForwardOptions,
+        is_young: bool,
     ) -> client.Head:
         """Send the request and return the head of the answer.
 
@@ -124,7 +129,7 @@
             # Read to its end, so that the connection can be used again.
             await connection.read_body()
             raise NotExecutedError(head.status)
-        if not facts.is_stamped and head.status < _FIRST_FAILURE:
+        if not facts.is_signed and head.status < _FIRST_FAILURE:
             raise client.BadAnswer('the answer is not signed')
         return head
 
@@ -141,7 +146,7 @@
         request = self._dialect.decode_answer(head).request
         return request is None or request == call.request
 
-    def _take_facts(self, head: client.Head) -> messages.AnswerFacts:
+    def _take_facts(self, head: client.Head) -> messages.ResponseMetadata:
         facts = self._dialect.decode_answer(head)
         if facts.load is not None:
             report = occupancy.Report(*facts.load)
--- a/libs/gateway/vanillayoke/gateway/front.py
+++ b/libs/gateway/vanillayoke/gateway/front.py
@@ -14,26 +14,26 @@
 from vanillayoke.gateway import dialect as dialect_module
 from vanillayoke.gateway import directory
 from vanillayoke.gateway import endpoints
-from vanillayoke.gateway import followed
+from vanillayoke.gateway import health_gossip
 from vanillayoke.gateway import histories
 from vanillayoke.gateway import homes as homes_module
 from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import limits as limits_module
+from vanillayoke.gateway import load_queries
 from vanillayoke.gateway import measures as measures_module
 from vanillayoke.gateway import members as members_module
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import notes
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
-from vanillayoke.gateway import scouting
 from vanillayoke.gateway import shared
 from vanillayoke.gateway import store as store_module
 from vanillayoke.gateway import sweeping
+from vanillayoke.gateway import table_sync
 from vanillayoke.gateway import tenure as tenure_module
-from vanillayoke.gateway import verdict_news
-from vanillayoke.gateway import version_news
+from vanillayoke.gateway import version_gossip
 from vanillayoke.scheduling import occupancy
 from vanillayoke.scheduling import verdicts
 from vanillayoke.transport import client
@@ -48,7 +48,7 @@
 RELAY_PORT = 1
 # Callers that keep an address longest keep it for three of its lifetimes;
 # one more second lets their last requests come in. Seconds.
-SETTLING = 3 * directory.LIFETIME + 1.0
+SETTLING = 3 * directory.TTL_SECONDS + 1.0
 # What is left of the grace when the process ends at the latest. Seconds.
 GRACE_MARGIN = 0.7
 
@@ -77,7 +77,7 @@
         self._make_parts()
         self._make_members()
         self._make_servers()
-        self._followed = followed.Followed(
+        self._table_sync = table_sync.TableSync(
             self._store,
             dialect,
             self._catalog,
@@ -87,7 +87,7 @@
             settings.bounds,
             self._forget_former,
             self._access.note_confirmed,
-            self._version_news.publish,
+            self._version_gossip.publish,
         )
 
     @classmethod
@@ -109,7 +109,7 @@
 
         Others can do for callers what this instance can't.
         """
-        return self._store.is_away and self._members.is_alone
+        return self._store.is_unavailable and self._members.is_in_minority
 
     @property
     def is_ready(self) -> bool:
@@ -118,7 +118,7 @@
             not self.is_draining
             and not self.is_isolated
             and self._catalog.configuration is not None
-            and self._catalog.has_targets
+            and self._catalog.has_read_targets
         )
 
     async def start(self) -> None:
@@ -127,16 +127,16 @@
         sender = await datagrams.Datagrams.bind(
             host, int(port), self._peers.receive
         )
-        self._peers.use(sender)
+        self._peers.set_sender(sender)
         self._sender = sender
         for http_server, address in self._listen:
             host, _, port = address.rpartition(':')
             await http_server.listen(host, int(port))
-        self._followed.start(self._spawn)
+        self._table_sync.start(self._spawn)
         self._spawn(self._join())
         self._upkeep = self._timers.call_every(UPKEEP_INTERVAL, self._tidy)
         self._ticks = self._timers.call_every(homes_module.TICK, self._tick)
-        self._telling = self._version_news.start()
+        self._telling = self._version_gossip.start()
 
     async def stop(self) -> None:
         """Drain, then end; returns before the grace is over."""
@@ -189,18 +189,18 @@
         )
         self._histories = histories.Histories(self._store, self._timers)
         known = verdicts.Verdicts(settings.instance, draw)
-        self._verdict_news = verdict_news.VerdictNews(
+        self._health_gossip = health_gossip.HealthGossip(
             settings.instance,
             known,
-            lambda: self._members.list_homes(),
+            lambda: self._members.list_eligible(),
             self._timers,
             self._source,
             self._notes,
         )
         self._view = occupancy.Occupancy(
             known,
-            self._verdict_news.count_instances,
-            self._verdict_news.publish,
+            self._health_gossip.count_instances,
+            self._health_gossip.publish,
         )
         self._pool = client.Pool(CONNECT_TIMEOUT, self._notes.note_connection)
 
@@ -222,8 +222,8 @@
             settings.instance, self._began, settings.is_first_start
         )
         roster = homes_ranking.Roster(
-            lambda: self._members.list_homes(),
-            lambda: self._members.list_live_homes(),
+            lambda: self._members.list_eligible(),
+            lambda: self._members.list_live_eligible(),
             lambda: self._members.list_reachable(),
             lambda: self._members.list_failed(),
         )
@@ -236,22 +236,22 @@
             self._tenure,
             self._notes.note_credit,
         )
-        self._scouts = scouting.Scouts(
+        self._load_queries = load_queries.LoadQueries(
             settings.instance,
-            lambda: self._members.list_homes(),
+            lambda: self._members.list_eligible(),
             self._timers,
         )
-        self._version_news = version_news.VersionNews(
+        self._version_gossip = version_gossip.VersionGossip(
             self._row,
             self._relay_address,
             self._dialect.configuration_table,
             self._store,
-            lambda: self._members.list_homes(),
+            lambda: self._members.list_eligible(),
             self._timers,
             self._source,
             self._spawn,
             lambda: self._catalog.version,
-            lambda page: self._followed.take_configuration(page),
+            lambda page: self._table_sync.apply_configuration(page),
         )
         tolerance = settings.bounds.limits
         self._limit_accounts = limit_accounts.LimitAccounts(
@@ -259,7 +259,7 @@
             self._store,
             self._timers,
             self._spawn,
-            lambda: self._members.find_lost_share(tolerance.window),
+            lambda: self._members.compute_lost_ratio(tolerance.window),
             lambda: self._homes.is_leaving and bool(roster.list_homes()),
         )
         self._limits = limits_module.Limits(
@@ -271,23 +271,25 @@
             self._timers,
             self._spawn,
             lambda: self._catalog.version,
-            lambda: self._members.is_alone or self._members.is_unheard,
+            lambda: (
+                self._members.is_in_minority or self._members.has_lost_contact
+            ),
             self._source.random,
         )
         self._peers = peers_module.Peers(
             self._timers,
             self._answer_peer,
             lambda data, sender: self._members.receive(data, sender),
-            self._verdict_news.hear,
-            self._scouts.take,
-            self._version_news.hear,
+            self._health_gossip.receive,
+            self._load_queries.handle,
+            self._version_gossip.receive,
             incarnation,
         )
-        self._version_news.use(self._peers)
+        self._version_gossip.set_peers(self._peers)
         self._limits.use(self._peers)
         self._homes.use(self._peers)
-        self._scouts.use(self._peers)
-        self._verdict_news.use(self._peers)
+        self._load_queries.set_peers(self._peers)
+        self._health_gossip.set_peers(self._peers)
         self._members = members_module.Members(
             self._row,
             self._timers,
@@ -309,7 +311,7 @@
             self._pool,
             self._store,
             self._homes,
-            self._scouts,
+            self._load_queries,
             self._histories,
             self._log,
             self.measures,
@@ -342,11 +344,11 @@
 
     # Other instances
 
-    def _answer_peer(self, question: peer_messages.Question) -> typing.Any:
+    def _answer_peer(self, question: peer_messages.Request) -> typing.Any:
         match question:
-            case peer_messages.Count():
-                return self._scouts.answer(question)
-            case peer_messages.Usage():
+            case peer_messages.LoadQuery():
+                return self._load_queries.handle_request(question)
+            case peer_messages.UsageReport():
                 return self._limit_accounts.answer(question)
         return self._homes.answer(question)
 
@@ -362,18 +364,18 @@
 
     async def _join(self) -> None:
         """Become known to the others once there is something to serve."""
-        await self._followed.wait()
+        await self._table_sync.wait_until_loaded()
         self._members.start()
         self._tenure.note_joined(self._timers.now())
         self._apply_limits()
         ms = round((self._timers.now() - self._began) * 1000)
         self._log.write(log_events.GATEWAY_READY, ms=ms)
-        await self._followed.publish(self._row)
+        await self._table_sync.publish_instance(self._row)
         await sweeping.Sweeper(
             self.settings.instance,
             self._store,
             self._catalog,
-            self._members.list_homes,
+            self._members.list_eligible,
             self._timers,
         ).run()
 
@@ -382,7 +384,7 @@
         now = self._timers.now()
         self._tenure.tick(now, self._timers.wall(), homes_module.TICK)
         self._tenure.note_incarnation(self._members.incarnation, now)
-        homes = self._members.list_homes()
+        homes = self._members.list_eligible()
         self._tenure.note_members((one.instance for one in homes), now)
 
     def _tidy(self) -> None:
@@ -395,8 +397,8 @@
         self._homes.prune()
         self._limits.prune()
         self._limit_accounts.prune()
-        self._view.forget(self._catalog.names)
-        self._scouts.forget(self._catalog.names)
+        self._view.forget(self._catalog.target_names)
+        self._load_queries.retain(self._catalog.target_names)
 
     def _forget_former(self, target: messages.Target) -> None:
         """Forget what was known of a server's process that has ended.
@@ -406,7 +408,7 @@
         """
         self._pool.drop(target.address)
         self._view.restart(target.name)
-        self._scouts.restart(target.name)
+        self._load_queries.handle_restart(target.name)
         self._log.write(
             log_events.SERVER_RESTARTED,
             target=target.name,
@@ -454,7 +456,7 @@
             self._notes.note_store_regained()
             self._homes.record_credit()
         else:
-            self._notes.note_store_lost(self._store.usual_time)
+            self._notes.note_store_lost(self._store.average_latency)
 
 
 def find_relay(address: str) -> str:
--- a/libs/gateway/vanillayoke/gateway/verdict_news.py
+++ b/libs/gateway/vanillayoke/gateway/health_gossip.py
@@ -13,40 +13,40 @@
 FANOUT = 4
 
 
-class VerdictNews:
+class HealthGossip:
     """Tells a few others of each verdict; each tells a few more."""
 
     def __init__(
         self,
         instance: str,
         verdicts: verdicts_module.Verdicts,
-        list_homes: homes_ranking.ListMembers,
+        list_eligible: homes_ranking.ListMembers,
         timer_service: timers.TimerService,
         source: random.Random,
         notes: notes_module.Notes,
     ) -> None:
         self._instance = instance
         self._verdicts = verdicts
-        self._list_homes = list_homes
+        self._list_eligible = list_eligible
         self._timers = timer_service
         self._source = source
         self._notes = notes
         self._peers: peers_module.Peers | None = None
 
-    def use(self, peers: peers_module.Peers) -> None:
+    def set_peers(self, peers: peers_module.Peers) -> None:
         """Tell other instances through this from now on."""
         self._peers = peers
 
     def count_instances(self) -> int:
         """Return how many instances there are to agree."""
-        return len(self._list_homes())
+        return len(self._list_eligible())
 
     def publish(self, verdict: verdicts_module.Verdict) -> None:
         """Spread what this instance found out."""
         self._notes.note_verdict(verdict)
         self._spread(verdict)
 
-    def hear(self, verdict: verdicts_module.Verdict) -> None:
+    def receive(self, verdict: verdicts_module.Verdict) -> None:
         """Take what another instance tells; pass on what is new.
 
         A line is written only where it changes what this instance does.
@@ -63,9 +63,9 @@
     def _spread(self, verdict: verdicts_module.Verdict) -> None:
         others = [
             home.address
-            for home in self._list_homes()
+            for home in self._list_eligible()
             if home.instance != self._instance
         ]
         self._source.shuffle(others)
         if self._peers is not None:
-            self._peers.send_verdict(others[:FANOUT], verdict)
+            self._peers.send_health_state(others[:FANOUT], verdict)
--- a/libs/gateway/vanillayoke/gateway/histories.py
+++ b/libs/gateway/vanillayoke/gateway/histories.py
@@ -110,7 +110,7 @@
         places = parts.list_places(turn, PLACES)
         pause = retries.FIRST_PAUSE
         while True:
-            for part in sorted(places, key=self._store.is_suspect):
+            for part in sorted(places, key=self._store.has_recent_failure):
                 left = until - self._timers.now()
                 patience = min(left, retries.find_patience(self._store))
                 try:
@@ -121,10 +121,10 @@
                     failure = error
             pause = min(retries.LONGEST_PAUSE, pause * 2)
             left = until - self._timers.now()
-            is_hopeless = self._store.is_closed and not is_patient
+            is_hopeless = self._store.is_unreachable and not is_patient
             if is_hopeless or left <= retries.SHORTEST_TRY:
                 raise failure
-            await self._store.wait_open(min(pause, left))
+            await self._store.wait_before_retry(min(pause, left))
 
     async def _write(
         self, part: str, rows: list[tuple[str, bytes]], patience: float
@@ -144,7 +144,7 @@
             return
         # An earlier try of ours may have taken effect without an answer.
         if not any(found.value == value for found in outcome.rows):
-            raise store_module.StoreSilentError(
+            raise store_module.StoreOutcomeUnknownError(
                 f'turn {where.key} is kept with another text'
             )
 
@@ -204,7 +204,7 @@
     try:
         return transcripts.read_rows(turn, rows)
     except transcripts.BrokenTurnError as error:
-        raise store_module.StoreSilentError(str(error)) from error
+        raise store_module.StoreOutcomeUnknownError(str(error)) from error
 
 
 def _split(
--- a/libs/gateway/vanillayoke/gateway/holders.py
+++ b/libs/gateway/vanillayoke/gateway/holders.py
@@ -96,7 +96,7 @@
             )
         return len(programs)
 
-    def give_up(self, program: str, asker: str) -> peer_messages.Handed:
+    def give_up(self, program: str, asker: str) -> peer_messages.HandedOver:
         """Give what is free to an asker, and say who got what was here.
 
         While all instances leave they differ about who stays, and tokens go
@@ -107,7 +107,7 @@
         tokens = self._ledger.withdraw(program)
         if tokens > 0 and asker:
             self._note_receiver(program, asker)
-        return peer_messages.Handed(tokens, before)
+        return peer_messages.HandedOver(tokens, before)
 
     def _note_receiver(self, program: str, receiver: str) -> None:
         others = [
@@ -246,14 +246,14 @@
 
     async def _ask_for_tokens(
         self, program: str, holder: homes_ranking.HomeMember
-    ) -> peer_messages.Handed | None:
-        answer = await self._peers.ask(
+    ) -> peer_messages.HandedOver | None:
+        answer = await self._peers.send_request(
             holder.address,
             peer_messages.HandOver(program, self._instance),
             self._timers.now() + ANSWER_PATIENCE,
-            peers_module.LASTING_REPEATS,
+            peers_module.LONG_RETRY_TIMEOUTS_SECONDS,
         )
-        if not isinstance(answer, peer_messages.Handed):
+        if not isinstance(answer, peer_messages.HandedOver):
             return None
         if answer.tokens > 0:
             self._ledger.deposit(program, answer.tokens)
@@ -286,11 +286,11 @@
         # and one that arrives late does not make them count twice.
         tokens = self._ledger.withdraw(program)
         self._note_receiver(program, home.instance)
-        await self._peers.ask(
+        await self._peers.send_request(
             home.address,
             peer_messages.Transfer(program, tokens),
             self._timers.now(),
-            peers_module.LASTING_REPEATS,
+            peers_module.LONG_RETRY_TIMEOUTS_SECONDS,
         )
         return tokens
 
--- a/libs/gateway/vanillayoke/gateway/holding.py
+++ b/libs/gateway/vanillayoke/gateway/holding.py
@@ -51,7 +51,7 @@
             raise refusals.RefusalError(
                 refusals.Reason.STORE_AWAY, str(error), outages.SHORTEST_PAUSE
             ) from error
-        await self._parts.store.wait_open(min(left, PAUSE))
+        await self._parts.store.wait_before_retry(min(left, PAUSE))
 
     def find_latest_start(self, progress: dispatch.Progress) -> float:
         """Return until when a turn can wait and still be served."""
@@ -93,7 +93,8 @@
     def _find_outage(self, now: float) -> outages.Outage:
         availability = self._parts.store.availability
         return outages.Outage(
-            availability.get_age(now), tuple(availability.outages)
+            availability.get_outage_duration(now),
+            tuple(availability.outage_durations),
         )
 
     def _find_silence_end(self, progress: dispatch.Progress) -> float:
@@ -101,8 +102,8 @@
         route = progress.route
         silence = max(
             SHORTEST_SILENCE,
-            OBJECTIVE_TIMES * route.objective,
-            GAP_TIMES * route.longest_gap,
+            OBJECTIVE_TIMES * route.latency_objective,
+            GAP_TIMES * route.max_gap,
         )
         return min(progress.until, progress.began + silence - SILENCE_MARGIN)
 
--- a/libs/gateway/vanillayoke/gateway/home_calls.py
+++ b/libs/gateway/vanillayoke/gateway/home_calls.py
@@ -55,7 +55,7 @@
         home: homes_ranking.HomeMember,
         question: peer_messages.Reserve,
         until: float,
-    ) -> peer_messages.Answer | None:
+    ) -> peer_messages.Response | None:
         """Ask a home to reserve; settle there what no answer tells of.
 
         The home may have reserved, or do so later; nobody else would ever
@@ -63,7 +63,9 @@
         """
         answer = peer_messages.Pending()
         try:
-            answer = await self._peers.ask(home.address, question, until)
+            answer = await self._peers.send_request(
+                home.address, question, until
+            )
             if answer is None:
                 self._silent[home.instance] = self._timers.now()
         finally:
@@ -78,11 +80,11 @@
         self, address: str, question: peer_messages.Settle
     ) -> None:
         """Tell the keeper of a reservation that its turn is over."""
-        await self._peers.ask(
+        await self._peers.send_request(
             address,
             question,
             self._timers.now(),
-            peers_module.LASTING_REPEATS,
+            peers_module.LONG_RETRY_TIMEOUTS_SECONDS,
         )
 
     def prune(self) -> None:
--- a/libs/gateway/vanillayoke/gateway/homes.py
+++ b/libs/gateway/vanillayoke/gateway/homes.py
@@ -161,9 +161,9 @@
             match answer:
                 case peer_messages.Granted(slack, target):
                     return Reservation(True, home.address, slack, target)
-                case peer_messages.Spent():
+                case peer_messages.BudgetExhausted():
                     return Reservation(False, home.address, None)
-                case peer_messages.Unable(is_store=True):
+                case peer_messages.Unavailable(is_store_unavailable=True):
                     raise store_module.StoreRefusedError(
                         f'{home.instance} could not ask the store'
                     )
@@ -229,7 +229,7 @@
         if self._timers.now() - self._began < NEWCOMER:
             await self._holders.ask_former_home(question.program)
         is_sure = self._is_sure(question.program)
-        if is_sure and question.may_owe:
+        if is_sure and question.allow_credit:
             if await self._reserve_soon(question):
                 return ledger_module.Outcome.GRANTED
         extra = 0
@@ -302,7 +302,7 @@
         Turns that are kept get no credit. Charged for it, a new program of
         theirs is told "spent" before its first turn once a home or two died.
         """
-        if question.may_owe and question.program in self._uncharged:
+        if question.allow_credit and question.program in self._uncharged:
             del self._uncharged[question.program]
             self._ledger.charge(
                 question.program, question.budget, question.need
@@ -328,7 +328,7 @@
 
     def _give_credit(self, question: peer_messages.Reserve) -> bool:
         """Let a turn begin without the store, if that can't be too much."""
-        if not question.may_owe or not self._is_sure(question.program):
+        if not question.allow_credit or not self._is_sure(question.program):
             return False
         tokens = self._ledger.give_credit(
             question.program, question.budget, question.turn, question.need
@@ -367,7 +367,7 @@
         self._clocks.lose(
             question.program,
             question.session,
-            question.lost,
+            question.delay,
             self._timers.now(),
         )
         if question.target is not None:
@@ -398,10 +398,10 @@
         return peer_messages.Granted(self._arrive(question), target)
 
     def answer(
-        self, question: peer_messages.Question
+        self, question: peer_messages.Request
     ) -> (
-        peer_messages.Answer
-        | typing.Coroutine[typing.Any, typing.Any, peer_messages.Answer]
+        peer_messages.Response
+        | typing.Coroutine[typing.Any, typing.Any, peer_messages.Response]
     ):
         """Answer another instance."""
         match question:
@@ -418,41 +418,41 @@
                 return self._holders.give_up(program, asker)
             case peer_messages.Reserve(program, _, turn, need):
                 if (program, turn) in self._ended:
-                    return peer_messages.Unable(False)
+                    return peer_messages.Unavailable(False)
                 self._charge(question)
                 if self._ledger.reserve_now(program, turn, need):
                     self._top_up(question)
                     return self._grant(question)
                 if self.is_leaving and self._roster.list_homes():
-                    return peer_messages.Unable(False)
+                    return peer_messages.Unavailable(False)
                 if self._ledger.is_closed:
                     if self._give_credit(question):
                         return self._grant(question)
-                    return peer_messages.Unable(True)
+                    return peer_messages.Unavailable(True)
                 return self._reserve_for_other(question)
 
     async def _give_up_sure(
         self, program: str, asker: str
-    ) -> peer_messages.Answer:
+    ) -> peer_messages.Response:
         """Hand over, once it is known what this instance was granted."""
         try:
             await self._ledger.clear_doubt(program)
         except store_module.StoreError:
-            return peer_messages.Unable(True)
+            return peer_messages.Unavailable(True)
         return self._holders.give_up(program, asker)
 
     async def _reserve_for_other(
         self, question: peer_messages.Reserve
-    ) -> peer_messages.Answer:
+    ) -> peer_messages.Response:
         until = self._timers.now() + HOME_PATIENCE
         try:
             outcome = await self._reserve_from_store(question, until)
         except store_module.StoreError:
-            return peer_messages.Unable(True)
+            return peer_messages.Unavailable(True)
         if outcome is ledger_module.Outcome.SPENT:
-            return peer_messages.Spent()
+            return peer_messages.BudgetExhausted()
         if (question.program, question.turn) in self._ended:
             # The asker has given up meanwhile, and settled it.
             self._ledger.settle(question.program, question.turn, 0)
-            return peer_messages.Unable(False)
+            return peer_messages.Unavailable(False)
         return self._grant(question)
--- a/libs/gateway/vanillayoke/gateway/ledger.py
+++ b/libs/gateway/vanillayoke/gateway/ledger.py
@@ -69,12 +69,12 @@
     @property
     def is_closed(self) -> bool:
         """Whether no grant can be had from the store now."""
-        return self._store.is_closed
+        return self._store.is_unreachable
 
     @property
     def is_away(self) -> bool:
         """Whether the store does not answer this instance."""
-        return self._store.is_away
+        return self._store.is_unavailable
 
     def reserve_now(self, program: str, turn: str, need: int) -> bool:
         """Reserve from what was granted before; say if that was enough."""
@@ -452,7 +452,7 @@
             try:
                 decoded = _DECODER.decode(row.value)
             except msgspec.DecodeError as error:
-                raise store_module.StoreSilentError(
+                raise store_module.StoreOutcomeUnknownError(
                     f'budget row {row.where.key}: {error}'
                 ) from error
             version = row.version
--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -76,11 +76,11 @@
         self._entries: dict[str, _Entry] = {}
 
     def answer(
-        self, question: peer_messages.Usage
+        self, question: peer_messages.UsageReport
     ) -> (
-        peer_messages.Standing
-        | peer_messages.Unable
-        | typing.Coroutine[typing.Any, typing.Any, peer_messages.Standing]
+        peer_messages.LimitStatus
+        | peer_messages.Unavailable
+        | typing.Coroutine[typing.Any, typing.Any, peer_messages.LimitStatus]
     ):
         """Take what an instance has used; admit what it asks for.
 
@@ -88,20 +88,20 @@
         admit side by side would admit too much.
         """
         if self._is_leaving():
-            return peer_messages.Unable(False)
+            return peer_messages.Unavailable(False)
         name = question.organisation
         entry = self._entries.get(name)
         if entry is None:
             entry = _Entry(quotas.Account(self._window, self._needs))
             self._entries[name] = entry
             self._begin(name, entry)
-        elif question.is_moved and self._is_settled(entry):
+        elif question.is_reassigned and self._is_settled(entry):
             # Another instance has been the home meanwhile.
             self._begin(name, entry)
         self._take(entry, question)
         if entry.opening is not None:
-            if question.asked is None:
-                return peer_messages.Standing(is_close=True)
+            if question.pending is None:
+                return peer_messages.LimitStatus(is_near_limit=True)
             return self._answer_opened(entry, question)
         return self._decide(entry, question)
 
@@ -123,14 +123,16 @@
         is_over = self._timers.now() > entry.settled_at + SETTLING
         return entry.opening is None and is_over
 
-    def _take(self, entry: _Entry, question: peer_messages.Usage) -> None:
+    def _take(
+        self, entry: _Entry, question: peer_messages.UsageReport
+    ) -> None:
         now = self._timers.now()
         account = entry.account
         account.set_limit(question.limit, question.version)
-        if question.is_whole:
+        if question.is_full:
             account.window.forget(question.reporter)
-        for used in question.used:
-            at = now - used.age / 1000
+        for used in question.records:
+            at = now - used.age_ms / 1000
             account.window.add(question.reporter, at, used.count)
             asked = quotas.Asked(used.program, used.route)
             account.note(asked, used.count, now)
@@ -138,15 +140,15 @@
         account.seen = now
 
     async def _answer_opened(
-        self, entry: _Entry, question: peer_messages.Usage
-    ) -> peer_messages.Standing:
+        self, entry: _Entry, question: peer_messages.UsageReport
+    ) -> peer_messages.LimitStatus:
         if entry.opening is not None:
             await asyncio.wait((entry.opening,))
         return self._decide(entry, question)
 
     def _decide(
-        self, entry: _Entry, question: peer_messages.Usage
-    ) -> peer_messages.Standing:
+        self, entry: _Entry, question: peer_messages.UsageReport
+    ) -> peer_messages.LimitStatus:
         now = self._timers.now()
         account = entry.account
         if now >= entry.settled_at:
@@ -155,12 +157,12 @@
         else:
             reserve = quotas.find_first_reserve(account.limit, entry.is_known)
         account.reserve = reserve
-        standing = peer_messages.Standing(False)
-        if question.asked is not None:
-            asked = quotas.Asked(*question.asked)
+        standing = peer_messages.LimitStatus(False)
+        if question.pending is not None:
+            asked = quotas.Asked(*question.pending)
             match account.ask(question.reporter, asked, now):
                 case quotas.Refused() as found:
-                    standing = peer_messages.Standing(
+                    standing = peer_messages.LimitStatus(
                         False,
                         _describe(found, account),
                         found.pause,
@@ -170,7 +172,7 @@
                     entry.unsaved += 1
         self._save_soon(question.organisation, entry)
         return msgspec.structs.replace(
-            standing, is_close=account.is_close(now)
+            standing, is_near_limit=account.is_close(now)
         )
 
     # The store
@@ -195,7 +197,7 @@
     async def _read(self, name: str) -> Saved | None:
         where = _locate(name)
         page = await self._store.read(
-            TABLE, where.part, READ_PATIENCE, where.key, where.key + '\0'
+            TABLE, where.partition, READ_PATIENCE, where.key, where.key + '\0'
         )
         for row in page.rows:
             try:
--- a/libs/gateway/vanillayoke/gateway/limits.py
+++ b/libs/gateway/vanillayoke/gateway/limits.py
@@ -226,19 +226,19 @@
             if answer is None:
                 self._admit_alone(usage, asked)
                 return
-            if answer.refused is None:
+            if answer.refusal_reason is None:
                 # The home has counted it with its answer.
                 usage.add(self._timers.now(), asked, 1, is_told=True)
                 self._usages[organisation] = usage
                 return
             now = self._timers.now()
-            if answer.is_new or now + answer.pause > until:
+            if answer.is_new_program or now + answer.retry_after > until:
                 raise refusals.RefusalError(
                     refusals.Reason.OVER_LIMIT,
-                    f'{answer.refused}; counted by {usage.home}',
-                    answer.pause,
+                    f'{answer.refusal_reason}; counted by {usage.home}',
+                    answer.retry_after,
                 )
-            await self._timers.sleep(answer.pause)
+            await self._timers.sleep(answer.retry_after)
 
     def _admit_alone(self, usage: _Usage, asked: quotas.Asked) -> None:
         """Admit an even share of what may be lost uncounted.
@@ -279,7 +279,7 @@
 
     async def _send(
         self, organisation: str, usage: _Usage, asked: quotas.Asked | None
-    ) -> peer_messages.Standing | None:
+    ) -> peer_messages.LimitStatus | None:
         """Tell the home what it does not know; return what it answers."""
         for _ in range(MOST_ASKED):
             home = self._find_home(organisation)
@@ -287,8 +287,8 @@
                 break
             question = self._make_question(organisation, usage, home, asked)
             answer = await self._put(home, question)
-            if isinstance(answer, peer_messages.Standing):
-                usage.is_close = answer.is_close
+            if isinstance(answer, peer_messages.LimitStatus):
+                usage.is_close = answer.is_near_limit
                 usage.is_cut_off = False
                 usage.answered_at = self._timers.now()
                 return answer
@@ -305,19 +305,19 @@
         usage: _Usage,
         home: str,
         asked: quotas.Asked | None,
-    ) -> peer_messages.Usage:
+    ) -> peer_messages.UsageReport:
         now = self._timers.now()
         usage.prune(now - self._window)
         is_whole = usage.home != home
         is_moved = is_whole and (usage.home is not None or usage.has_moved)
         usage.home = home
-        return peer_messages.Usage(
+        return peer_messages.UsageReport(
             organisation,
             self._reporter,
             usage.limit,
             usage.version,
             tuple(
-                peer_messages.Used(
+                peer_messages.UsageRecord(
                     round((now - entry.at) * 1000),
                     entry.asked.program,
                     entry.asked.route,
@@ -331,8 +331,8 @@
         )
 
     async def _put(
-        self, home: str, question: peer_messages.Usage
-    ) -> peer_messages.Answer | None:
+        self, home: str, question: peer_messages.UsageReport
+    ) -> peer_messages.Response | None:
         if home == self._instance:
             answer = self._accounts.answer(question)
             if asyncio.iscoroutine(answer):
@@ -340,7 +340,7 @@
             return answer
         address = self._find_address(home)
         until = self._timers.now() + limit_accounts.READ_PATIENCE
-        return await self._peers.ask(address, question, until)
+        return await self._peers.send_request(address, question, until)
 
     def _find_address(self, home: str) -> str:
         return next(
--- a/libs/gateway/vanillayoke/gateway/scouting.py
+++ b/libs/gateway/vanillayoke/gateway/load_queries.py
@@ -21,28 +21,28 @@
 PATIENCE = 0.008
 
 
-class Scouts:
+class LoadQueries:
     """Tells homes what goes to their targets, and asks them for counts."""
 
     def __init__(
         self,
         instance: str,
-        list_members: homes_ranking.ListMembers,
+        list_eligible: homes_ranking.ListMembers,
         timer_service: timers.TimerService,
     ) -> None:
         self._instance = instance
-        self._list_members = list_members
+        self._list_eligible = list_eligible
         self._timers = timer_service
         self._tallies = tallies.Tallies()
         self._peers: peers_module.Peers | None = None
         self._members: typing.Sequence[homes_ranking.HomeMember] = ()
         self._homes: dict[str, str | None] = {}
 
-    def use(self, peers: peers_module.Peers) -> None:
+    def set_peers(self, peers: peers_module.Peers) -> None:
         """Ask other instances through this from now on."""
         self._peers = peers
 
-    async def count(
+    async def query(
         self, places: typing.Iterable[occupancy.Place]
     ) -> dict[str, tallies.Load]:
         """Return the loads of those targets whose homes answer in time."""
@@ -62,22 +62,24 @@
     async def _ask(
         self, address: str, target: str, found: dict[str, tallies.Load]
     ) -> None:
-        answer = await self._peers.ask(
+        answer = await self._peers.send_request(
             address,
-            peer_messages.Count(target),
+            peer_messages.LoadQuery(target),
             self._timers.now() + PATIENCE,
             (PATIENCE,),
         )
-        if isinstance(answer, peer_messages.Counted):
-            found[target] = tallies.Load(answer.requests, answer.slowness)
+        if isinstance(answer, peer_messages.LoadResponse):
+            found[target] = tallies.Load(answer.requests, answer.latency_ratio)
 
-    def begin(
+    def record_start(
         self, target: messages.Target, request: str, longest: float
     ) -> None:
         """Note that a request goes to a target, for so long at the most."""
-        self._tell(target, peer_messages.Began(target.name, request, longest))
+        self._tell(
+            target, peer_messages.RequestStarted(target.name, request, longest)
+        )
 
-    def end(
+    def record_end(
         self,
         target: messages.Target,
         request: str,
@@ -85,42 +87,46 @@
         pace: float | None,
     ) -> None:
         """Note that a request has ended; see ``tallies.Tallies.end``."""
-        note = peer_messages.Ended(target.name, request, reported, pace)
+        note = peer_messages.RequestEnded(target.name, request, reported, pace)
         self._tell(target, note)
 
-    def take(self, note: peer_messages.Note) -> None:
+    def handle(self, note: peer_messages.Notification) -> None:
         """Take what this or another instance tells of a target."""
         now = self._timers.now()
         match note:
-            case peer_messages.Began(target, request, longest):
+            case peer_messages.RequestStarted(target, request, longest):
                 self._tallies.begin(target, request, now + longest, now)
-            case peer_messages.Ended(target, request, reported, pace):
+            case peer_messages.RequestEnded(target, request, reported, pace):
                 self._tallies.end(target, request, reported, pace, now)
 
-    def answer(self, question: peer_messages.Count) -> peer_messages.Counted:
+    def handle_request(
+        self, request: peer_messages.LoadQuery
+    ) -> peer_messages.LoadResponse:
         """Answer another instance."""
-        load = self._tallies.find_load(question.target, self._timers.now())
-        return peer_messages.Counted(load.requests, load.slowness)
+        load = self._tallies.find_load(request.target, self._timers.now())
+        return peer_messages.LoadResponse(load.requests, load.slowness)
 
-    def forget(self, targets: typing.Container[str]) -> None:
+    def retain(self, targets: typing.Container[str]) -> None:
         """Forget the targets that are no more."""
         self._tallies.forget(targets)
         self._homes.clear()
 
-    def restart(self, target: str) -> None:
+    def handle_restart(self, target: str) -> None:
         """Forget the work of a target that has started again."""
         self._tallies.drop(target)
 
-    def _tell(self, target: messages.Target, note: peer_messages.Note) -> None:
+    def _tell(
+        self, target: messages.Target, note: peer_messages.Notification
+    ) -> None:
         address = self._find_home(target.name, target.zone)
         if address is None:
-            self.take(note)
+            self.handle(note)
         else:
-            self._peers.tell(address, note)
+            self._peers.notify(address, note)
 
     def _find_home(self, target: str, zone: str) -> str | None:
         """Return the address of a target's home, ``None`` for this one."""
-        members = self._list_members()
+        members = self._list_eligible()
         if members is not self._members:
             self._members = members
             self._homes.clear()
--- a/libs/gateway/vanillayoke/gateway/members.py
+++ b/libs/gateway/vanillayoke/gateway/members.py
@@ -118,7 +118,7 @@
         alive = cluster_messages.State.ALIVE
         return [one for one in self.list_members() if one.state is alive]
 
-    def list_homes(self) -> typing.Sequence[homes_ranking.HomeMember]:
+    def list_eligible(self) -> typing.Sequence[homes_ranking.HomeMember]:
         """Return the instances that may keep programs.
 
         It is the same sequence for as long as nothing changes.
@@ -131,7 +131,7 @@
             )
         return self._homes
 
-    def list_live_homes(self) -> list[homes_ranking.HomeMember]:
+    def list_live_eligible(self) -> list[homes_ranking.HomeMember]:
         """Return the instances that keep programs and were heard of."""
         return [_make_home(one) for one in self.list_live()]
 
@@ -156,7 +156,7 @@
             if one.state is failed
         ]
 
-    def find_lost_share(self, age: float) -> float:
+    def compute_lost_ratio(self, age: float) -> float:
         """Return the share of instances lost within ``age`` seconds.
 
         Most of those that started since have taken the place of a former
@@ -180,7 +180,7 @@
         return self._membership.me.incarnation
 
     @property
-    def is_alone(self) -> bool:
+    def is_in_minority(self) -> bool:
         """Whether most of the other instances are out of reach.
 
         Then it is this instance that was cut off, rather than they.
@@ -194,7 +194,7 @@
         return len(others) >= FEWEST_OTHERS and lost > len(others) / 2
 
     @property
-    def is_unheard(self) -> bool:
+    def has_lost_contact(self) -> bool:
         """Whether no other instance was heard for a while.
 
         Each is probed and answered several times a second: one that was cut
--- a/libs/gateway/vanillayoke/gateway/messages.py
+++ b/libs/gateway/vanillayoke/gateway/messages.py
@@ -41,14 +41,14 @@
     prefix: str
     kind: RouteKind
     timeout: float
-    objective: float
+    latency_objective: float
     priority: int
     shares: tuple[Share, ...]
     max_attempts: int
     keeps_history: bool
     retention: float
     is_resumable: bool
-    longest_gap: float
+    max_gap: float
     is_public: bool = False
 
     @property
@@ -63,7 +63,7 @@
     slots: int
     cache_tokens: int
     event_tokens: int
-    longest_pin: float
+    max_pin: float
 
 
 class Service(typing.NamedTuple):
@@ -93,8 +93,8 @@
 
     header_bytes: int
     body_bytes: int
-    header_time: float
-    idle: float
+    header_timeout: float
+    idle_timeout: float
 
 
 class Configuration(typing.NamedTuple):
@@ -158,15 +158,15 @@
     time_left: float | None
     program: Program | None
     prompt_tokens: int
-    most_tokens: int
+    max_tokens: int
     prefix: tuple[tuple[str, int], ...]
-    likely_tokens: int | None
+    expected_tokens: int | None
     previous_turn: str | None
     last_event: bytes | None
     key: bytes | None = None
 
 
-class Sending(typing.NamedTuple):
+class ForwardOptions(typing.NamedTuple):
     """What the system tells a target beside the caller's own request.
 
     ``hides_key`` keeps the caller's key from the target.
@@ -178,7 +178,7 @@
     last_event: bytes | None
     pin: float | None = None
     organisation: str | None = None
-    hides_key: bool = False
+    strips_key: bool = False
 
 
 class Load(typing.NamedTuple):
@@ -189,12 +189,12 @@
     slots: int
 
 
-class AnswerFacts(typing.NamedTuple):
+class ResponseMetadata(typing.NamedTuple):
     """What the head of a target's answer says beside its status."""
 
     request: str | None
     is_not_executed: bool
-    is_stamped: bool
+    is_signed: bool
     load: Load | None
 
 
@@ -202,7 +202,7 @@
     """Where a row lies; rows of one part change in one transaction."""
 
     table: str
-    part: str
+    partition: str
     key: str
 
 
@@ -249,7 +249,7 @@
     address: str
     writes_per_second: float
     reads_per_second: float
-    part_writes_per_second: float
+    partition_writes_per_second: float
     row_bytes: int
 
 
@@ -266,11 +266,11 @@
     """
 
     grace: float
-    contact: float
-    leaving: float
-    longest_lifetime: float
+    recovery_timeout: float
+    target_drain_timeout: float
+    max_address_ttl: float
     limits: quotas.Tolerance = quotas.Tolerance()
-    revocation: float = 5.0
+    revocation_timeout: float = 5.0
     is_revocation_strict: bool = False
 
 
--- a/libs/gateway/vanillayoke/gateway/peer_messages.py
+++ b/libs/gateway/vanillayoke/gateway/peer_messages.py
@@ -22,7 +22,7 @@
     session: str = ''
     route: str = ''
     time_left: float | None = None
-    may_owe: bool = False
+    allow_credit: bool = False
 
 
 class Settle(msgspec.Struct, frozen=True, array_like=True, tag='S'):
@@ -36,7 +36,7 @@
     turn: str
     used: int
     session: str = ''
-    lost: float = 0.0
+    delay: float = 0.0
     target: str | None = None
 
 
@@ -54,35 +54,35 @@
     """
 
     program: str
-    asker: str = ''
+    requester: str = ''
 
 
-class Count(msgspec.Struct, frozen=True, array_like=True, tag='C'):
+class LoadQuery(msgspec.Struct, frozen=True, array_like=True, tag='C'):
     """How many requests does a target have?"""
 
     target: str
 
 
-class Counted(msgspec.Struct, frozen=True, array_like=True, tag='N'):
+class LoadResponse(msgspec.Struct, frozen=True, array_like=True, tag='N'):
     """About how many requests a target has, and how slow it is."""
 
     requests: float
-    slowness: float
+    latency_ratio: float
 
 
-class Used(msgspec.Struct, frozen=True, array_like=True):
+class UsageRecord(msgspec.Struct, frozen=True, array_like=True):
     """Requests of one program that were admitted a while ago.
 
     ``age`` is in milliseconds. The count is negative where they did not run.
     """
 
-    age: int
+    age_ms: int
     program: str
     route: str
     count: int
 
 
-class Usage(msgspec.Struct, frozen=True, array_like=True, tag='L'):
+class UsageReport(msgspec.Struct, frozen=True, array_like=True, tag='L'):
     """What a process has used of an organisation's limit.
 
     ``reporter`` names the process, apart from others of the same instance.
@@ -96,13 +96,13 @@
     reporter: str
     limit: quotas.Limit
     version: int
-    used: tuple[Used, ...] = ()
-    is_whole: bool = False
-    is_moved: bool = False
-    asked: tuple[str, str] | None = None
+    records: tuple[UsageRecord, ...] = ()
+    is_full: bool = False
+    is_reassigned: bool = False
+    pending: tuple[str, str] | None = None
 
 
-class Standing(msgspec.Struct, frozen=True, array_like=True, tag='A'):
+class LimitStatus(msgspec.Struct, frozen=True, array_like=True, tag='A'):
     """How an organisation stands to its limit.
 
     ``is_close`` means that each request has to be asked for. ``refused`` is
@@ -110,21 +110,21 @@
     ``is_new`` says that its program has not begun.
     """
 
-    is_close: bool
-    refused: str | None = None
-    pause: float = 0.0
-    is_new: bool = False
+    is_near_limit: bool
+    refusal_reason: str | None = None
+    retry_after: float = 0.0
+    is_new_program: bool = False
 
 
-class Began(msgspec.Struct, frozen=True, array_like=True, tag='B'):
+class RequestStarted(msgspec.Struct, frozen=True, array_like=True, tag='B'):
     """A request goes to a target, for ``longest`` seconds at the most."""
 
     target: str
     request: str
-    longest: float
+    max_duration: float
 
 
-class Ended(msgspec.Struct, frozen=True, array_like=True, tag='E'):
+class RequestEnded(msgspec.Struct, frozen=True, array_like=True, tag='E'):
     """A request has ended at a target, which said that it had so many.
 
     ``pace`` is the time taken against what such requests usually take.
@@ -132,11 +132,11 @@
 
     target: str
     request: str
-    reported: int | None
-    pace: float | None
+    reported_count: int | None
+    latency_ratio: float | None
 
 
-class Handed(msgspec.Struct, frozen=True, array_like=True, tag='D'):
+class HandedOver(msgspec.Struct, frozen=True, array_like=True, tag='D'):
     """The tokens given up; they are the asker's now.
 
     ``receivers`` are instances that got what the answering one had before.
@@ -157,7 +157,7 @@
     target: str | None = None
 
 
-class Spent(msgspec.Struct, frozen=True, array_like=True, tag='X'):
+class BudgetExhausted(msgspec.Struct, frozen=True, array_like=True, tag='X'):
     """The budget does not hold the turn."""
 
 
@@ -165,13 +165,13 @@
     """The store has to be asked first; the answer follows."""
 
 
-class Unable(msgspec.Struct, frozen=True, array_like=True, tag='U'):
+class Unavailable(msgspec.Struct, frozen=True, array_like=True, tag='U'):
     """The store could not be asked, or the instance is stopping."""
 
-    is_store: bool
+    is_store_unavailable: bool
 
 
-class Version(msgspec.Struct, frozen=True, array_like=True):
+class ConfigurationVersion(msgspec.Struct, frozen=True, array_like=True):
     """The newest version of the configuration that the sender knows.
 
     ``address`` is the sender's, ``relay`` where it passes calls on to the
@@ -183,7 +183,15 @@
     relay: str
 
 
-Question = Reserve | Settle | Transfer | HandOver | Count | Usage
-Answer = Granted | Spent | Pending | Unable | Handed | Counted | Standing
+Request = Reserve | Settle | Transfer | HandOver | LoadQuery | UsageReport
+Response = (
+    Granted
+    | BudgetExhausted
+    | Pending
+    | Unavailable
+    | HandedOver
+    | LoadResponse
+    | LimitStatus
+)
 # Told without an answer; one that is lost does no lasting harm.
-Note = Began | Ended
+Notification = RequestStarted | RequestEnded
--- a/libs/gateway/vanillayoke/gateway/peers.py
+++ b/libs/gateway/vanillayoke/gateway/peers.py
@@ -16,23 +16,30 @@
 
 # Kinds of datagrams, the first byte of each.
 MEMBERSHIP = b'm'
-QUESTION = b'q'
-ANSWER = b'a'
-VERDICT = b'v'
-NOTE = b'n'
+REQUEST = b'q'
+RESPONSE = b'a'
+HEALTH_STATE = b'v'
+NOTIFICATION = b'n'
 VERSION = b'c'
 # When a question is sent again. A round trip takes two or three
 # milliseconds between zones; a busy peer some tens. Seconds.
-REPEATS = (0.02, 0.05, 0.08)
+RETRY_TIMEOUTS_SECONDS = (0.02, 0.05, 0.08)
 # The same for what would strand tokens where it is lost: a turn's end, and
 # tokens that change hands. A peer that stands still for seconds gets it.
-LASTING_REPEATS = (*REPEATS, 0.2, 0.4, 0.8, 1.6, 3.0)
+LONG_RETRY_TIMEOUTS_SECONDS = (
+    *RETRY_TIMEOUTS_SECONDS,
+    0.2,
+    0.4,
+    0.8,
+    1.6,
+    3.0,
+)
 # Questions that must not take effect twice when they are repeated.
 _ONCE = (
     peer_messages.Settle,
     peer_messages.Transfer,
     peer_messages.HandOver,
-    peer_messages.Usage,
+    peer_messages.UsageReport,
 )
 # How many answers to such questions are kept for repetitions.
 MOST_KEPT = 2000
@@ -40,20 +47,20 @@
 
 class _Envelope(msgspec.Struct, frozen=True, array_like=True):
     number: int
-    question: peer_messages.Question
+    question: peer_messages.Request
 
 
 class _Reply(msgspec.Struct, frozen=True, array_like=True):
     number: int
-    answer: peer_messages.Answer
+    answer: peer_messages.Response
 
 
 _ENCODER = msgspec.msgpack.Encoder()
 _QUESTIONS = msgspec.msgpack.Decoder(_Envelope)
 _ANSWERS = msgspec.msgpack.Decoder(_Reply)
-_NOTES = msgspec.msgpack.Decoder(peer_messages.Note)
+_NOTES = msgspec.msgpack.Decoder(peer_messages.Notification)
 _VERDICTS = msgspec.msgpack.Decoder(verdicts.Verdict)
-_VERSIONS = msgspec.msgpack.Decoder(peer_messages.Version)
+_VERSIONS = msgspec.msgpack.Decoder(peer_messages.ConfigurationVersion)
 
 
 class Sender(typing.Protocol):
@@ -64,9 +71,9 @@
 
 
 Handler = typing.Callable[
-    [peer_messages.Question],
-    peer_messages.Answer
-    | typing.Coroutine[typing.Any, typing.Any, peer_messages.Answer],
+    [peer_messages.Request],
+    peer_messages.Response
+    | typing.Coroutine[typing.Any, typing.Any, peer_messages.Response],
 ]
 
 
@@ -79,8 +86,10 @@
         handle: Handler,
         on_membership: typing.Callable[[bytes, str], None],
         on_verdict: typing.Callable[[verdicts.Verdict], None],
-        on_note: typing.Callable[[peer_messages.Note], None],
-        on_version: typing.Callable[[peer_messages.Version], None],
+        on_note: typing.Callable[[peer_messages.Notification], None],
+        on_version: typing.Callable[
+            [peer_messages.ConfigurationVersion], None
+        ],
         first_number: int,
     ) -> None:
         self._timers = timer_service
@@ -92,13 +101,13 @@
         self._sender: Sender | None = None
         # Answers to a former process at this address must not fit.
         self._number = first_number
-        self._waiting: dict[int, asyncio.Queue[peer_messages.Answer]] = {}
+        self._waiting: dict[int, asyncio.Queue[peer_messages.Response]] = {}
         self._answered: collections.OrderedDict[
-            tuple[str, int], peer_messages.Answer
+            tuple[str, int], peer_messages.Response
         ] = collections.OrderedDict()
         self._working: dict[tuple[str, int], asyncio.Task] = {}
 
-    def use(self, sender: Sender) -> None:
+    def set_sender(self, sender: Sender) -> None:
         """Send through this from now on."""
         self._sender = sender
 
@@ -107,24 +116,26 @@
         if self._sender is not None:
             self._sender.send(address, MEMBERSHIP + data)
 
-    def send_verdict(
+    def send_health_state(
         self, addresses: typing.Iterable[str], verdict: verdicts.Verdict
     ) -> None:
         """Tell others what is known of a target."""
-        data = VERDICT + _ENCODER.encode(verdict)
+        data = HEALTH_STATE + _ENCODER.encode(verdict)
         if self._sender is not None:
             for address in addresses:
                 self._sender.send(address, data)
 
-    def send_version(self, address: str, news: peer_messages.Version) -> None:
+    def send_version(
+        self, address: str, news: peer_messages.ConfigurationVersion
+    ) -> None:
         """Tell another instance a version of the configuration."""
         if self._sender is not None:
             self._sender.send(address, VERSION + _ENCODER.encode(news))
 
-    def tell(self, address: str, note: peer_messages.Note) -> None:
+    def notify(self, address: str, note: peer_messages.Notification) -> None:
         """Tell another instance something that needs no answer."""
         if self._sender is not None:
-            self._sender.send(address, NOTE + _ENCODER.encode(note))
+            self._sender.send(address, NOTIFICATION + _ENCODER.encode(note))
 
     def receive(self, data: bytes, sender: str) -> None:
         """Take a datagram."""
@@ -132,27 +143,27 @@
         try:
             if kind == MEMBERSHIP:
                 self._on_membership(content, sender)
-            elif kind == NOTE:
+            elif kind == NOTIFICATION:
                 self._on_note(_NOTES.decode(content))
-            elif kind == VERDICT:
+            elif kind == HEALTH_STATE:
                 self._on_verdict(_VERDICTS.decode(content))
             elif kind == VERSION:
                 self._on_version(_VERSIONS.decode(content))
-            elif kind == QUESTION:
+            elif kind == REQUEST:
                 self._take_question(_QUESTIONS.decode(content), sender)
-            elif kind == ANSWER:
+            elif kind == RESPONSE:
                 self._take_answer(_ANSWERS.decode(content))
         except msgspec.DecodeError:
             # Another version's message, or noise on the port.
             return
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
-        question: peer_messages.Question,
+        question: peer_messages.Request,
         until: float,
-        repeats: typing.Sequence[float] = REPEATS,
-    ) -> peer_messages.Answer | None:
+        repeats: typing.Sequence[float] = RETRY_TIMEOUTS_SECONDS,
+    ) -> peer_messages.Response | None:
         """Return the answer of a peer; ``None`` if it seems not to be there.
 
         A peer that says that it is at work is waited for until then; it is
@@ -161,9 +172,9 @@
         """
         self._number += 1
         number = self._number
-        queue: asyncio.Queue[peer_messages.Answer] = asyncio.Queue()
+        queue: asyncio.Queue[peer_messages.Response] = asyncio.Queue()
         self._waiting[number] = queue
-        data = QUESTION + _ENCODER.encode(_Envelope(number, question))
+        data = REQUEST + _ENCODER.encode(_Envelope(number, question))
         try:
             return await self._ask(address, data, queue, until, repeats)
         finally:
@@ -173,10 +184,10 @@
         self,
         address: str,
         data: bytes,
-        queue: asyncio.Queue[peer_messages.Answer],
+        queue: asyncio.Queue[peer_messages.Response],
         until: float,
         repeats: typing.Sequence[float],
-    ) -> peer_messages.Answer | None:
+    ) -> peer_messages.Response | None:
         if self._sender is None:
             return None
         for pause in repeats:
@@ -192,8 +203,8 @@
         return None
 
     async def _await_work(
-        self, queue: asyncio.Queue[peer_messages.Answer], until: float
-    ) -> peer_messages.Answer:
+        self, queue: asyncio.Queue[peer_messages.Response], until: float
+    ) -> peer_messages.Response:
         try:
             async with asyncio.timeout(until - self._timers.now()):
                 while True:
@@ -223,7 +234,10 @@
         self._working[key] = task
 
     def _give(
-        self, key: tuple[str, int], answer: peer_messages.Answer, is_once: bool
+        self,
+        key: tuple[str, int],
+        answer: peer_messages.Response,
+        is_once: bool,
     ) -> None:
         if is_once:
             self._answered[key] = answer
@@ -234,7 +248,7 @@
     async def _work(
         self,
         key: tuple[str, int],
-        work: typing.Coroutine[typing.Any, typing.Any, peer_messages.Answer],
+        work: typing.Coroutine[typing.Any, typing.Any, peer_messages.Response],
         is_once: bool,
     ) -> None:
         try:
@@ -243,10 +257,10 @@
             del self._working[key]
 
     def _reply(
-        self, sender: str, number: int, answer: peer_messages.Answer
+        self, sender: str, number: int, answer: peer_messages.Response
     ) -> None:
         if self._sender is not None:
-            data = ANSWER + _ENCODER.encode(_Reply(number, answer))
+            data = RESPONSE + _ENCODER.encode(_Reply(number, answer))
             self._sender.send(sender, data)
 
     def _take_answer(self, reply: _Reply) -> None:
--- a/libs/gateway/vanillayoke/gateway/plain.py
+++ b/libs/gateway/vanillayoke/gateway/plain.py
@@ -83,7 +83,7 @@
         self,
         progress: dispatch.Progress,
         attempt: forwarding.Attempt,
-        sending: messages.Sending,
+        sending: messages.ForwardOptions,
     ) -> Answer:
         head = await attempt.send(
             progress.call, sending, not progress.route.is_idempotent
--- a/libs/gateway/vanillayoke/gateway/relays.py
+++ b/libs/gateway/vanillayoke/gateway/relays.py
@@ -31,18 +31,18 @@
         self._refused_at: dict[str, float] = {}
 
     @property
-    def has_way(self) -> bool:
+    def has_route(self) -> bool:
         """Whether another instance has passed a call on, and still does."""
         return self._last is not None
 
     @property
-    def is_closed(self) -> bool:
+    def is_paused(self) -> bool:
         """Whether those asked last have refused a moment ago."""
         return self._timers.now() < self._closed_until
 
     def choose(self) -> str | None:
         """Return the address of an instance to ask, if there is one."""
-        if self.is_closed:
+        if self.is_paused:
             return None
         now = self._timers.now()
         relays = [
@@ -54,22 +54,22 @@
             return self._last
         return relays[int(self._draw() * len(relays))] if relays else None
 
-    def note_passed(self, relay: str) -> None:
+    def record_success(self, relay: str) -> None:
         """Note that an instance passed a call on."""
         self._last = relay
 
-    def note_refused(self, relay: str) -> None:
+    def record_refusal(self, relay: str) -> None:
         """Note that an instance could not pass a call on."""
         self._refused_at[relay] = self._timers.now()
         self._last = None
 
-    def note_silent(self) -> None:
+    def record_no_response(self) -> None:
         """Note that the instance asked last did not answer."""
         self._last = None
 
-    def close(self) -> None:
+    def pause(self) -> None:
         """Ask nobody for a while."""
-        if not self.is_closed:
+        if not self.is_paused:
             self._closed_until = self._timers.now() + CLOSED
 
     def forget(self) -> None:
--- a/libs/gateway/vanillayoke/gateway/retries.py
+++ b/libs/gateway/vanillayoke/gateway/retries.py
@@ -36,14 +36,17 @@
         except store_module.StoreError:
             pause = min(LONGEST_PAUSE, pause * 2)
             left = until - timer_service.now()
-            if left <= pause or store.is_closed:
+            if left <= pause or store.is_unreachable:
                 raise
-            await store.wait_open(pause)
+            await store.wait_before_retry(pause)
 
 
 def find_patience(store: store_module.StoreClient) -> float:
     """Return how long to wait for one answer of the store."""
     return min(
-        store_module.LONGEST_PATIENCE,
-        max(SHORTEST_PATIENCE, store_module.PATIENCE_TIMES * store.usual_time),
+        store_module.MAX_TIMEOUT_SECONDS,
+        max(
+            SHORTEST_PATIENCE,
+            store_module.TIMEOUT_FACTOR * store.average_latency,
+        ),
     )
--- a/libs/gateway/vanillayoke/gateway/shared.py
+++ b/libs/gateway/vanillayoke/gateway/shared.py
@@ -10,9 +10,9 @@
 from vanillayoke.gateway import histories as histories_module
 from vanillayoke.gateway import homes as homes_module
 from vanillayoke.gateway import limits as limits_module
+from vanillayoke.gateway import load_queries
 from vanillayoke.gateway import measures as measures_module
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import scouting
 from vanillayoke.gateway import store as store_module
 from vanillayoke.scheduling import occupancy
 from vanillayoke.transport import client
@@ -36,7 +36,7 @@
     pool: client.Pool
     store: store_module.StoreClient
     homes: homes_module.Homes
-    scouts: scouting.Scouts
+    scouts: load_queries.LoadQueries
     histories: histories_module.Histories
     log: logs.Logger
     measures: measures_module.Measures
--- a/libs/gateway/vanillayoke/gateway/store.py
+++ b/libs/gateway/vanillayoke/gateway/store.py
@@ -21,7 +21,7 @@
 # How an instance says that it could not pass a call on, and that it does not
 # know what became of it.
 REFUSED_STATUS = 503
-SILENT_STATUS = 504
+NO_RESPONSE_STATUS = 504
 # What a relayed call counts as: its part is the asker's affair.
 _RELAYED = 'relayed'
 # Between two probes of a store that is away. Seconds.
@@ -34,8 +34,8 @@
 # A call without an answer is tried again after this many usual times, at
 # least a quarter of a second: a store that is slow must not get each call
 # twice. Seconds.
-PATIENCE_TIMES = 8.0
-LONGEST_PATIENCE = 2.5
+TIMEOUT_FACTOR = 8.0
+MAX_TIMEOUT_SECONDS = 2.5
 
 
 class StoreError(Exception):
@@ -46,11 +46,11 @@
     """Nothing was done."""
 
 
-class StoreSilentError(StoreError):
+class StoreOutcomeUnknownError(StoreError):
     """No answer came: what was asked may be done, or be done yet."""
 
 
-class HistoryGoneError(StoreError):
+class ChangesExpiredError(StoreError):
     """The changes asked for are no longer there; read all anew."""
 
 
@@ -89,7 +89,7 @@
         self._returned = asyncio.Event()
         self._lost = asyncio.Event()
         # The time that a call takes, as an average over the last few.
-        self.usual_time = 0.01
+        self.average_latency = 0.01
 
     @property
     def row_bytes(self) -> int:
@@ -97,22 +97,22 @@
         return self._settings.row_bytes
 
     @property
-    def is_closed(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Whether neither the store nor another instance's way to it works.
 
         What needs the store need not be tried then. Probes find the way, so
         that no turn is begun for nothing while it is not known.
         """
-        return self.is_away and not self._relays.has_way
+        return self.is_unavailable and not self._relays.has_route
 
     @property
-    def is_away(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether the store does not answer this instance."""
-        return self.availability.is_away
+        return self.availability.is_unavailable
 
-    def is_suspect(self, part: str) -> bool:
+    def has_recent_failure(self, part: str) -> bool:
         """Say whether a part of the store failed a moment ago."""
-        return self.availability.is_suspect(part, self._timers.now())
+        return self.availability.has_recent_failure(part, self._timers.now())
 
     async def transact(
         self, transaction: messages.Transaction, patience: float
@@ -157,10 +157,10 @@
             'follow', f'all of {table}', request, patience + wait
         )
         if status == _GONE:
-            raise HistoryGoneError(f'{table} after {after}')
+            raise ChangesExpiredError(f'{table} after {after}')
         return self._decode(self._dialect.decode_page, body)
 
-    async def read_through(
+    async def read_via_relay(
         self, relay: str, table: str, patience: float
     ) -> messages.Page:
         """Return the first rows of a table, by way of another instance."""
@@ -176,18 +176,18 @@
         It is never passed on to a third instance: two that both miss the
         store would pass it to and fro.
         """
-        if self.is_away:
+        if self.is_unavailable:
             return REFUSED_STATUS, b''
         try:
             return await self._call_directly(
-                'relay', _RELAYED, request, LONGEST_PATIENCE
+                'relay', _RELAYED, request, MAX_TIMEOUT_SECONDS
             )
         except StoreRefusedError:
             return REFUSED_STATUS, b''
-        except StoreSilentError:
-            return SILENT_STATUS, b''
+        except StoreOutcomeUnknownError:
+            return NO_RESPONSE_STATUS, b''
 
-    async def watch(self) -> None:
+    async def watch_availability(self) -> None:
         """Find out when the store is back; runs until cancelled.
 
         All calls that wait hear of a probe's answer, instead of each asking
@@ -198,9 +198,9 @@
         while True:
             await self._lost.wait()
             async with asyncio.TaskGroup() as probes:
-                while self.is_away:
+                while self.is_unavailable:
                     probes.create_task(self._probe())
-                    if not self._relays.has_way:
+                    if not self._relays.has_route:
                         probes.create_task(self._probe_relays())
                     pause = PROBE_PAUSE * (0.75 + 0.5 * self._draw())
                     await self._timers.sleep(pause)
@@ -212,7 +212,9 @@
         part = parts.name_part(self._probed)
         request = self._dialect.encode_probe(part)
         try:
-            await self._call_directly('probe', part, request, LONGEST_PATIENCE)
+            await self._call_directly(
+                'probe', part, request, MAX_TIMEOUT_SECONDS
+            )
         except StoreError:
             return
 
@@ -220,13 +222,13 @@
         """Find out whether another instance reaches the store."""
         request = self._dialect.encode_probe(parts.name_part(0))
         try:
-            await self._call_by_relay('probe', request, LONGEST_PATIENCE)
+            await self._call_by_relay('probe', request, MAX_TIMEOUT_SECONDS)
         except StoreError:
             return
 
-    async def wait_open(self, longest: float) -> None:
+    async def wait_before_retry(self, longest: float) -> None:
         """Return when a call is worth trying again, at the latest then."""
-        if not self.is_away:
+        if not self.is_unavailable:
             await self._timers.sleep(longest * (0.5 + self._draw() / 2))
             return
         try:
@@ -252,7 +254,7 @@
         request: dialect_module.StoreRequest,
         patience: float,
     ) -> tuple[int, bytes]:
-        if self.is_away:
+        if self.is_unavailable:
             return await self._call_by_relay(kind, request, patience)
         return await self._call_directly(kind, part, request, patience)
 
@@ -273,10 +275,12 @@
             raise StoreRefusedError(str(error)) from error
         except (client.TransportError, TimeoutError) as error:
             self._note_silence(kind, part, began)
-            raise StoreSilentError(str(error) or 'no answer') from error
+            raise StoreOutcomeUnknownError(
+                str(error) or 'no answer'
+            ) from error
         if status in _REFUSALS:
-            is_rate = status == _TOO_MANY
-            self._note_failure(kind, part, 'refused', began, is_rate)
+            is_rate_limited = status == _TOO_MANY
+            self._note_failure(kind, part, 'refused', began, is_rate_limited)
             raise StoreRefusedError(f'the store answered {status}')
         self._note_success(kind, part, began)
         return status, body
@@ -291,14 +295,14 @@
             try:
                 answer = await self._ask_relay(kind, relay, request, patience)
             except StoreRefusedError:
-                self._relays.note_refused(relay)
+                self._relays.record_refusal(relay)
                 continue
-            except StoreSilentError:
-                self._relays.note_silent()
+            except StoreOutcomeUnknownError:
+                self._relays.record_no_response()
                 raise
-            self._relays.note_passed(relay)
+            self._relays.record_success(relay)
             return answer
-        self._relays.close()
+        self._relays.pause()
         raise StoreRefusedError('the store is away for others too')
 
     async def _ask_relay(
@@ -314,13 +318,15 @@
         except client.NotSent as error:
             raise StoreRefusedError(str(error)) from error
         except (client.TransportError, TimeoutError) as error:
-            raise StoreSilentError(str(error) or 'no answer') from error
+            raise StoreOutcomeUnknownError(
+                str(error) or 'no answer'
+            ) from error
         taken = self._timers.now() - began
         if status == REFUSED_STATUS:
             self._observer.on_call(kind, 'relay_refused', taken)
             raise StoreRefusedError('another instance was refused too')
-        if status == SILENT_STATUS:
-            raise StoreSilentError('no answer for another instance')
+        if status == NO_RESPONSE_STATUS:
+            raise StoreOutcomeUnknownError('no answer for another instance')
         self._observer.on_call(kind, 'relayed', taken)
         return status, body
 
@@ -352,16 +358,16 @@
         try:
             return decode(*given)
         except dialect_module.BadRowError as error:
-            raise StoreSilentError(str(error)) from error
+            raise StoreOutcomeUnknownError(str(error)) from error
 
     def _note_success(self, kind: str, part: str, began: float) -> None:
         now = self._timers.now()
         taken = now - began
         self._observer.on_call(kind, 'answered', taken)
         if kind != 'follow':
-            self.usual_time += (taken - self.usual_time) / 4
-        if self.availability.note_success(part, now):
-            self.usual_time = taken
+            self.average_latency += (taken - self.average_latency) / 4
+        if self.availability.record_success(part, now):
+            self.average_latency = taken
             self._relays.forget()
             self._lost.clear()
             self._returned.set()
@@ -372,7 +378,9 @@
         # answered: each silence doubles the patience for the next call.
         if kind not in ('follow', 'probe'):
             taken = self._timers.now() - began
-            self.usual_time = max(self.usual_time, 2 * taken / PATIENCE_TIMES)
+            self.average_latency = max(
+                self.average_latency, 2 * taken / TIMEOUT_FACTOR
+            )
         self._note_failure(kind, part, 'silent', began)
 
     def _note_failure(
@@ -381,11 +389,11 @@
         part: str,
         outcome: str,
         began: float,
-        is_rate: bool = False,
+        is_rate_limited: bool = False,
     ) -> None:
         now = self._timers.now()
         self._observer.on_call(kind, outcome, now - began)
-        if self.availability.note_failure(part, now, is_rate, began):
+        if self.availability.record_failure(part, now, is_rate_limited, began):
             self._returned.clear()
             self._lost.set()
             self._observer.on_change(False)
@@ -394,5 +402,5 @@
 def _find_part(transaction: messages.Transaction) -> str:
     """Return the part that a transaction is about; all its rows share it."""
     for where, _ in (*transaction.expected, *transaction.writes):
-        return where.part
+        return where.partition
     return ''
--- a/libs/gateway/vanillayoke/gateway/sweeping.py
+++ b/libs/gateway/vanillayoke/gateway/sweeping.py
@@ -63,7 +63,7 @@
         home = homes_ranking.find_home(part, self._list_members())
         if home is None or home.instance != self._instance:
             return
-        if self._store.is_away or self._catalog.configuration is None:
+        if self._store.is_unavailable or self._catalog.configuration is None:
             return
         for table, read_time in _TABLES:
             try:
--- a/libs/gateway/vanillayoke/gateway/followed.py
+++ b/libs/gateway/vanillayoke/gateway/table_sync.py
@@ -21,7 +21,7 @@
 PUBLISH_PAUSE = 0.1
 
 
-class Followed:
+class TableSync:
     """Keeps the catalogue and the members up with the store."""
 
     def __init__(
@@ -45,17 +45,17 @@
         self._members = members
         self._timers = timer_service
         self._log = log
-        wait = bounds.contact * WAIT_SHARE
+        wait = bounds.recovery_timeout * WAIT_SHARE
 
         def follow(table, on_reading, on_change):
-            return feeds.Follower(store, table, on_reading, on_change, wait)
+            return feeds.TableFeed(store, table, on_reading, on_change, wait)
 
-        self._configuration = feeds.Follower(
+        self._configuration = feeds.TableFeed(
             store,
             dialect.configuration_table,
-            self.take_configuration,
+            self.apply_configuration,
             self._change_configuration,
-            min(wait, bounds.revocation * WAIT_SHARE),
+            min(wait, bounds.revocation_timeout * WAIT_SHARE),
             on_confirmed,
         )
         self._targets = follow(
@@ -67,18 +67,18 @@
 
     def start(self, spawn: typing.Callable[[typing.Coroutine], None]) -> None:
         """Begin to follow."""
-        spawn(self._store.watch())
+        spawn(self._store.watch_availability())
         for one in (self._configuration, self._targets, self._instances):
             spawn(one.run())
 
-    async def wait(self) -> None:
+    async def wait_until_loaded(self) -> None:
         """Return when routes and targets are known."""
         while self._catalog.configuration is None:
             await self._timers.sleep(0.01)
-        await self._targets.has_read.wait()
-        await self._instances.has_read.wait()
+        await self._targets.loaded.wait()
+        await self._instances.loaded.wait()
 
-    async def publish(self, row: messages.InstanceRow) -> None:
+    async def publish_instance(self, row: messages.InstanceRow) -> None:
         """Make an instance known; tries until it has worked."""
         where = messages.RowKey(members_module.TABLE, '', row.instance)
         value = msgspec.json.encode(row)
@@ -88,11 +88,11 @@
                 await self._store.transact(transaction, PUBLISH_TIMEOUT)
                 return
             except store_module.StoreError:
-                await self._store.wait_open(PUBLISH_PAUSE)
+                await self._store.wait_before_retry(PUBLISH_PAUSE)
 
     # Configuration
 
-    def take_configuration(self, page: messages.Page) -> None:
+    def apply_configuration(self, page: messages.Page) -> None:
         """Take a reading of the configuration's table."""
         for row in page.rows:
             self._change_configuration(row)
@@ -132,7 +132,7 @@
         if row.value is None:
             state = 'gone'
             service = None
-            changed = self._catalog.miss_target(
+            changed = self._catalog.mark_target_missing(
                 row.where.key, row.version, self._find_grace()
             )
         else:
@@ -166,7 +166,7 @@
         It has not lapsed, so it is not waited for: it names nobody until the
         server writes its own again.
         """
-        self._catalog.miss_target(row.where.key, row.version, None)
+        self._catalog.mark_target_missing(row.where.key, row.version, None)
 
     def _note_restart(self, target: messages.Target) -> None:
         """Tell of a server that has started again under its name."""
@@ -180,8 +180,10 @@
         the part that they lie in, and are written again soon after.
         """
         availability = self._store.availability
-        troubled = max(availability.returned_at, availability.disturbed_at)
-        until = troubled + catalog_module.LAPSE_GRACE
+        troubled = max(
+            availability.recovered_at, availability.correlated_failure_at
+        )
+        until = troubled + catalog_module.LAPSE_GRACE_SECONDS
         return until if self._timers.now() < until else None
 
     # Instances
--- a/libs/gateway/vanillayoke/gateway/turns.py
+++ b/libs/gateway/vanillayoke/gateway/turns.py
@@ -145,7 +145,7 @@
             progress.qualify(program.name),
             program.budget,
             progress.call.request,
-            progress.call.most_tokens,
+            progress.call.max_tokens,
             program.session,
             progress.route.name,
             program.time_left,
@@ -186,9 +186,9 @@
         """Return about how long it takes to serve a turn, in seconds."""
         first, each = self._find_usual(progress.service)
         events = USUAL_EVENTS
-        if progress.call.likely_tokens:
+        if progress.call.expected_tokens:
             size = self._find_event_tokens(progress.service)
-            events = progress.call.likely_tokens / size
+            events = progress.call.expected_tokens / size
         return first.value + each.value * events
 
     def _refuse_if_isolated(self) -> None:
@@ -219,7 +219,7 @@
         while True:
             # A turn that can't be kept would run for nothing.
             self._refuse_if_isolated()
-            if self._parts.store.is_closed:
+            if self._parts.store.is_unreachable:
                 await self._holding.hold(progress, _AWAY)
                 continue
             if not progress.call.previous_turn:
--- a/libs/gateway/vanillayoke/gateway/version_news.py
+++ b/libs/gateway/vanillayoke/gateway/version_gossip.py
@@ -29,7 +29,7 @@
 MOST_TRIES = 3
 
 
-class VersionNews:
+class VersionGossip:
     """Spreads versions; reads those that this instance has missed.
 
     ``relay`` is where this instance passes calls on to the store.
@@ -43,7 +43,7 @@
         relay: str,
         table: str,
         store: store_module.StoreClient,
-        list_homes: homes_ranking.ListMembers,
+        list_eligible: homes_ranking.ListMembers,
         timer_service: timers.TimerService,
         source: random.Random,
         spawn: typing.Callable[[typing.Coroutine], None],
@@ -54,7 +54,7 @@
         self._relay = relay
         self._table = table
         self._store = store
-        self._list_homes = list_homes
+        self._list_eligible = list_eligible
         self._timers = timer_service
         self._source = source
         self._spawn = spawn
@@ -63,7 +63,7 @@
         self._peers: peers_module.Peers | None = None
         self._is_catching_up = False
 
-    def use(self, peers: peers_module.Peers) -> None:
+    def set_peers(self, peers: peers_module.Peers) -> None:
         """Tell other instances through this from now on."""
         self._peers = peers
 
@@ -75,7 +75,7 @@
         """Spread the version that has just come into force here."""
         self._spread(FANOUT)
 
-    def hear(self, news: peer_messages.Version) -> None:
+    def receive(self, news: peer_messages.ConfigurationVersion) -> None:
         """Take what another instance tells, or tell it what is newer."""
         version = self._get_version()
         if news.version < version:
@@ -84,7 +84,9 @@
             self._is_catching_up = True
             self._spawn(self._catch_up(news))
 
-    async def _catch_up(self, news: peer_messages.Version) -> None:
+    async def _catch_up(
+        self, news: peer_messages.ConfigurationVersion
+    ) -> None:
         try:
             await self._timers.sleep(HEAD_START)
             for _ in range(MOST_TRIES):
@@ -103,7 +105,7 @@
         except store_module.StoreError:
             pass
         try:
-            return await self._store.read_through(
+            return await self._store.read_via_relay(
                 relay, self._table, READ_PATIENCE
             )
         except store_module.StoreError:
@@ -112,7 +114,7 @@
     def _spread(self, count: int) -> None:
         others = [
             home.address
-            for home in self._list_homes()
+            for home in self._list_eligible()
             if home.instance != self._me.instance
         ]
         for address in self._source.sample(others, min(count, len(others))):
@@ -121,5 +123,7 @@
     def _tell(self, address: str) -> None:
         version = self._get_version()
         if self._peers is not None and version:
-            news = peer_messages.Version(version, self._me.peer, self._relay)
+            news = peer_messages.ConfigurationVersion(
+                version, self._me.peer, self._relay
+            )
             self._peers.send_version(address, news)
--- a/libs/node/vanillayoke/node/instance.py
+++ b/libs/node/vanillayoke/node/instance.py
@@ -275,7 +275,7 @@
             events.CONFIGURATION_IN_FORCE, version=published.version
         )
         self.members.publish_news(
-            messages.ConfigurationNews(published.version)
+            messages.ConfigurationUpdate(published.version)
         )
 
     async def _apply_targets(
@@ -302,13 +302,13 @@
         self.ownership.update_members(found)
         self.scheduler.set_instances(len(self.directory.list_usable()))
 
-    def _take_news(self, news: messages.News) -> None:
+    def _take_news(self, news: messages.Update) -> None:
         match news:
-            case messages.ConfigurationNews(version):
+            case messages.ConfigurationUpdate(version):
                 self.configuration.hear(version)
-            case messages.TargetNews(target, messages.TargetState.LEAVING):
+            case messages.TargetUpdate(target, messages.TargetState.LEAVING):
                 self.feeds.mark_leaving(target)
-            case messages.FencedNews(incarnation=incarnation):
+            case messages.FencedUpdate(incarnation=incarnation):
                 self._take_fencing(incarnation)
 
     def _take_fencing(self, incarnation: str) -> None:
@@ -322,11 +322,11 @@
             self.journal.give_up()
 
     def _tell_fenced(self, name: str, incarnation: str) -> None:
-        self.members.publish_news(messages.FencedNews(name, incarnation))
+        self.members.publish_news(messages.FencedUpdate(name, incarnation))
 
     def _tell_leaving(self, target: str) -> None:
         self.members.publish_news(
-            messages.TargetNews(
+            messages.TargetUpdate(
                 target,
                 messages.TargetState.LEAVING,
                 int(self._outside.clock.wall() * 1000),
--- a/libs/node/vanillayoke/node/members.py
+++ b/libs/node/vanillayoke/node/members.py
@@ -38,7 +38,7 @@
 )
 
 MembersCallback = typing.Callable[[list[messages.Member]], None]
-NewsCallback = typing.Callable[[messages.News], None]
+NewsCallback = typing.Callable[[messages.Update], None]
 
 
 class Members:
@@ -147,7 +147,7 @@
     @property
     def configuration_heard(self) -> int:
         """The highest configuration version that any news told of."""
-        return self._machine.configuration
+        return self._machine.configuration_version
 
     def subscribe(self, callback: MembersCallback) -> None:
         """Call back with all members after each change."""
@@ -157,7 +157,7 @@
         """Call back with each piece of news that is not of members."""
         self._news_subscribers.append(callback)
 
-    def publish_news(self, news: messages.News) -> None:
+    def publish_news(self, news: messages.Update) -> None:
         """Tell all members; known or older news goes nowhere."""
         self._decide(membership_events.Published(news))
 
@@ -208,7 +208,7 @@
                 self._has_unsent.set()
             case membership_events.MemberChanged(before, after):
                 self._log_change(before, after)
-            case membership_events.Heard(news):
+            case membership_events.UpdateLearned(news):
                 for callback in self._news_subscribers:
                     callback(news)
             case membership_events.Refuted(incarnation):
--- a/tests/adapter/test_wire.py
+++ b/tests/adapter/test_wire.py
@@ -89,7 +89,7 @@
     )
     case.assertEqual(('site.example', '/a/b'), (call.host, call.path))
     case.assertEqual(messages.Program('p1', 's1', 5.2, 2320), call.program)
-    case.assertEqual((1840, 290), (call.prompt_tokens, call.most_tokens))
+    case.assertEqual((1840, 290), (call.prompt_tokens, call.max_tokens))
     case.assertEqual((('5c', 800), ('91', 410)), call.prefix)
     case.assertEqual('r0', call.previous_turn)
 
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -24,7 +24,8 @@
 
 def _news(*members: messages.Member) -> list:
     return [
-        messages.encode_news(messages.MemberNews(member)) for member in members
+        messages.encode_update(messages.MemberUpdate(member))
+        for member in members
     ]
 
 
@@ -81,8 +82,8 @@
 def _read_member_news(message: messages.Message) -> list[messages.Member]:
     return [
         news.member
-        for news in messages.decode_news(message.news)
-        if isinstance(news, messages.MemberNews)
+        for news in messages.decode_updates(message.updates)
+        if isinstance(news, messages.MemberUpdate)
     ]
 
 
@@ -249,7 +250,7 @@
     sent = _list_sent(driver.run(60), messages.Ping)
     case.assertTrue(sent)
     case.assertIn(failed, _read_member_news(sent[-1].message))
-    driver.run(membership_table.FORGET_FAILED + 60)
+    driver.run(membership_table.FAILED_RETENTION_SECONDS + 60)
     case.assertIsNone(driver.find_state('a'))
 
 
@@ -269,15 +270,15 @@
         size = len(
             messages.encode_packet(messages.Packet(1 << 56, ping.message))
         )
-        case.assertLessEqual(size, membership_packets.NEWS_BUDGET + 60)
+        case.assertLessEqual(size, membership_packets.UPDATE_BUDGET_BYTES + 60)
 
 
 def test_news_is_repeated_a_bounded_number_of_times(case, driver):
     driver.tell(_notice(*(_make_member(name) for name in 'abc')))
-    news = messages.TargetNews('engine-a', messages.TargetState.FAILED, 5)
+    news = messages.TargetUpdate('engine-a', messages.TargetState.FAILED, 5)
     driver.tell(membership_events.Published(news))
     sent = [
-        messages.decode_news(ping.message.news)
+        messages.decode_updates(ping.message.updates)
         for ping in _list_sent(driver.run(60), messages.Ping)
     ]
     case.assertEqual(6, sum(news in told for told in sent))
@@ -291,7 +292,7 @@
     """
 
     def observe(state, observed: int) -> int:
-        news = messages.TargetNews('engine-a', state, observed)
+        news = messages.TargetUpdate('engine-a', state, observed)
         return len(driver.tell(membership_events.Published(news)))
 
     failed = messages.TargetState.FAILED
@@ -303,13 +304,13 @@
 def test_configuration_never_goes_back(case, driver):
     for version in (3, 2, 3):
         driver.tell(
-            membership_events.Published(messages.ConfigurationNews(version))
+            membership_events.Published(messages.ConfigurationUpdate(version))
         )
-    case.assertEqual(3, driver.machine.configuration)
+    case.assertEqual(3, driver.machine.configuration_version)
     heard = [
         action
         for action in driver.done
-        if isinstance(action, membership_events.Heard)
+        if isinstance(action, membership_events.UpdateLearned)
     ]
     case.assertEqual(1, len(heard))
 
@@ -320,15 +321,15 @@
     A newer version sends a kind of news that this one does not know, in
     the same packet as its acks.
     """
-    known = messages.encode_news(messages.ConfigurationNews(4))
-    unknown = messages.encode_news(['q', 1, 2])
+    known = messages.encode_update(messages.ConfigurationUpdate(4))
+    unknown = messages.encode_update(['q', 1, 2])
     packet = messages.Packet(1, messages.Ack(1, 'a', [unknown, known]))
     data = messages.encode_packet(packet)
     received = messages.decode_packet(data)
     case.assertEqual(1, received.message.sequence)
     case.assertEqual(
-        [messages.ConfigurationNews(4)],
-        messages.decode_news(received.message.news),
+        [messages.ConfigurationUpdate(4)],
+        messages.decode_updates(received.message.updates),
     )
     case.assertIsNone(messages.decode_packet(b'\xc1garbage'))
 
--- a/tests/gateway/test_catalog.py
+++ b/tests/gateway/test_catalog.py
@@ -35,7 +35,7 @@
 def test_heartbeat_ends_a_lapse(case, catalog):
     """A row that had lapsed is written again, the same as before."""
     catalog.put_target(_make('a'), 1)
-    catalog.miss_target('a', 2, until=10.0)
+    catalog.mark_target_missing('a', 2, until=10.0)
     case.assertTrue(catalog.put_target(_make('a'), 3))
     case.assertEqual([], catalog.expire(20.0))
     case.assertEqual(['a'], _names(catalog))
@@ -55,9 +55,9 @@
     case.assertEqual(['a'], _names(catalog))
     catalog.put_target(_make('a', is_leaving=True), 2)
     case.assertEqual([], _names(catalog))
-    case.assertIn('a', catalog.names)
-    catalog.miss_target('a', 3, None)
-    case.assertNotIn('a', catalog.names)
+    case.assertIn('a', catalog.target_names)
+    catalog.mark_target_missing('a', 3, None)
+    case.assertNotIn('a', catalog.target_names)
 
 
 def test_list_that_is_in_use_stays_as_it_was(case, catalog):
@@ -65,7 +65,7 @@
     catalog.put_target(_make('a'), 1)
     catalog.put_target(_make('b'), 2)
     found = catalog.list_targets('models')
-    catalog.miss_target('a', 3, None)
+    catalog.mark_target_missing('a', 3, None)
     case.assertEqual(['a', 'b'], [one.name for one in found])
     case.assertEqual(['b'], _names(catalog))
 
--- a/tests/gateway/test_credit.py
+++ b/tests/gateway/test_credit.py
@@ -208,14 +208,14 @@
         front._tenure.note_break(site.timers.now())
     for name, front in site.fronts.items():
         # As in the moments behind a refusal of all other instances.
-        front._store.availability.is_away = True
-        front._store._relays.close()
+        front._store.availability.is_unavailable = True
+        front._store._relays.pause()
         program = _find_program_of(site, name)
         question = peer_messages.Reserve(
-            program, 800, 'turn', MOST, may_owe=True
+            program, 800, 'turn', MOST, allow_credit=True
         )
         case.assertEqual(
-            peer_messages.Unable(True), front._homes.answer(question)
+            peer_messages.Unavailable(True), front._homes.answer(question)
         )
         case.assertEqual([], site.list_events(name, 'budget_on_credit'))
 
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -26,7 +26,7 @@
 
 def test_answer_holds_no_more_than_callers_take(case):
     members = [_make(n, 'z1') for n in range(200)]
-    case.assertEqual(directory.MOST_ADDRESSES, len(_choose(members)))
+    case.assertEqual(directory.MAX_ADDRESSES, len(_choose(members)))
 
 
 load_tests = fixtures.adapt(__name__)
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -244,7 +244,9 @@
 def _ask(front, count=1):
     """Ask a front, as another instance does; return what it answers."""
     limit = quotas.Limit(10.0, 0.0, 3.0, WINDOW)
-    question = peer_messages.Usage('red', 'x', limit, 2, asked=('p', ''))
+    question = peer_messages.UsageReport(
+        'red', 'x', limit, 2, pending=('p', '')
+    )
     return [front._limit_accounts.answer(question) for _ in range(count)]
 
 
@@ -258,7 +260,7 @@
     home = site.fronts[rank_homes()[0]]
     stop = asyncio.ensure_future(home.stop())
     await asyncio.sleep(0.1)
-    case.assertEqual([peer_messages.Unable(False)], _ask(home))
+    case.assertEqual([peer_messages.Unavailable(False)], _ask(home))
     await stop
 
 
@@ -268,11 +270,11 @@
     site.store.mode = store_module.Mode.BUSY
     home = site.fronts[rank_homes()[0]]
     answers = await _await_all(_ask(home, 8))
-    admitted = sum(one.refused is None for one in answers)
+    admitted = sum(one.refusal_reason is None for one in answers)
     case.assertLessEqual(admitted, 3)
     await asyncio.sleep(limit_accounts.SETTLING + 0.1)
     [answer] = await _await_all(_ask(home))
-    case.assertIsNone(answer.refused)
+    case.assertIsNone(answer.refusal_reason)
 
 
 async def test_account_that_was_not_written_is_written_again(case, shop):
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -116,7 +116,7 @@
     await asyncio.sleep(homes_module.NEWCOMER)
     await _use_a_part(site.fronts['i2'], program)
     members = site.fronts['i1']._members
-    failed = [one for one in members.list_homes() if one.instance == 'i2']
+    failed = [one for one in members.list_eligible() if one.instance == 'i2']
     members.list_reachable = lambda: []
     members.list_failed = lambda: failed
     question = peer_messages.Reserve(program, BUDGET, 'a', 120)
@@ -189,7 +189,7 @@
         peer='10.1.0.9:7380',
     )
     site.fronts['i1']._members.put_row('i9', msgspec.json.encode(row))
-    homes = site.fronts['i1']._members.list_homes()
+    homes = site.fronts['i1']._members.list_eligible()
     case.assertIn('i9', [one.instance for one in homes])
     await _use_a_part(site.fronts['i1'], program)
     await site.fronts['i1']._homes.hand_over()
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -144,7 +144,7 @@
     front.settings = front.settings._replace(bounds=bounds)
     case.assertEqual(200, (await site.call('i1', 'look', key='red-1')).status)
     site.store.mode = store_module.Mode.MUTE
-    await asyncio.sleep(messages.Bounds(1, 1, 1, 1).revocation + 0.5)
+    await asyncio.sleep(messages.Bounds(1, 1, 1, 1).revocation_timeout + 0.5)
     case.assertEqual(503, (await site.call('i1', 'look', key='red-1')).status)
     case.assertEqual(200, (await site.call('i2', 'look', key='red-1')).status)
 
--- a/tests/gateway/test_scouting.py
+++ b/tests/gateway/test_scouting.py
@@ -39,7 +39,7 @@
     for name in ('i2', 'i3', 'i4'):
         sites.kill(site, network, name)
     began = site.timers.now()
-    counts = await site.fronts['i1']._scouts.count(_list_places(site))
+    counts = await site.fronts['i1']._load_queries.query(_list_places(site))
     case.assertLess(site.timers.now() - began, 0.02)
     case.assertLessEqual(len(counts), 4)
 
@@ -76,7 +76,9 @@
     await asyncio.sleep(2.0)
     for front in site.fronts.values():
         for name in ('t1', 't2'):
-            answer = front._scouts.answer(peer_messages.Count(name))
+            answer = front._load_queries.handle_request(
+                peer_messages.LoadQuery(name)
+            )
             case.assertLess(answer.requests, 0.01)
 
 
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -396,7 +396,7 @@
     question = peer_messages.Reserve('new', MOST, 'a', MOST)
     case.assertIsInstance(homes.answer(question), peer_messages.Granted)
     homes.answer(peer_messages.Settle('new', 'a', 0))
-    case.assertEqual(peer_messages.Unable(False), homes.answer(question))
+    case.assertEqual(peer_messages.Unavailable(False), homes.answer(question))
     case.assertEqual(MOST, site.fronts['i1']._ledger.withdraw('new'))
 
 
--- a/tests/gateway/test_turns.py
+++ b/tests/gateway/test_turns.py
@@ -159,7 +159,7 @@
     What it had been granted stays spent: the program gets less, never more.
     """
     await site.start(3)
-    homes = site.fronts['i1']._members.list_homes()
+    homes = site.fronts['i1']._members.list_eligible()
     home = homes_ranking.find_home('p1', homes).instance
     other = next(name for name in ('i1', 'i2', 'i3') if name != home)
     for number in range(3):
@@ -282,7 +282,7 @@
     await site.start(1)
     front = site.fronts['i1']
     transfer = peer_messages.Transfer('p1', 100)
-    data = peers.QUESTION + msgspec.msgpack.encode([7, transfer])
+    data = peers.REQUEST + msgspec.msgpack.encode([7, transfer])
     front._peers.receive(data, '10.1.0.9:7380')
     front._peers.receive(data, '10.1.0.9:7380')
     case.assertEqual(100, front._ledger.withdraw('p1'))
--- a/tests/node/test_members.py
+++ b/tests/node/test_members.py
@@ -234,7 +234,7 @@
     heard = []
     for node in cluster.nodes:
         node.members.subscribe_news(heard.append)
-    news = messages.TargetNews('engine-a', messages.TargetState.LEAVING, 9)
+    news = messages.TargetUpdate('engine-a', messages.TargetState.LEAVING, 9)
     cluster.nodes[0].members.publish_news(news)
     reached = await cluster.wait_until(lambda: len(heard) == COUNT, NEWS_BOUND)
     case.assertIsNotNone(reached)
