--- a/libs/bench/vanillayoke/bench/tables.py
+++ b/libs/bench/vanillayoke/bench/tables.py
@@ -5,20 +5,18 @@
 status is 0 only if every bound held.
 """
 
-import json
-import random
-import sys
-import time
-import typing
-
-import msgspec
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import catalog
 from vanillayoke.gateway import members
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import rendezvous
 from vanillayoke.testing import loops
+import json
+import msgspec
+import random
+import sys
+import time
+import typing
 
 # Tokens come every 28 ms at the size that this is designed for. A reading
 # that holds the event loop for longer delays all streams of an instance; the
@@ -101,7 +99,7 @@
     bound = LONGEST_HOLD if rows <= MOST_INSTANCES else None
     yield Figure('first reading of instances', rows, taken, bound)
     taken = _measure(
-        lambda: rendezvous.find_coordinator('program', known.list_homes()),
+        lambda: rendezvous.find_coordinator('program', known.list_eligible()),
         ROUNDS,
     )
     yield Figure('home of a program', rows, taken, None)
--- a/libs/gateway/vanillayoke/gateway/access.py
+++ b/libs/gateway/vanillayoke/gateway/access.py
@@ -1,11 +1,9 @@
 """Who may send a request: the key of each is looked up anew."""
 
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import refusals
-
+import typing
 
 class Access:
     """Finds the organisation that a request belongs to."""
@@ -50,7 +48,7 @@
         """Refuse all keys, if any may have been taken away since."""
         bounds = self._get_bounds()
         age = self._timers.now() - self._confirmed_at
-        if bounds.is_revocation_strict and age > bounds.revocation:
+        if bounds.is_revocation_strict and age > bounds.revocation_timeout:
             raise refusals.RefusalError(
                 refusals.Reason.UNCONFIRMED,
                 f'configuration {configuration.version} was confirmed'
--- a/libs/gateway/vanillayoke/gateway/calls.py
+++ b/libs/gateway/vanillayoke/gateway/calls.py
@@ -1,7 +1,5 @@
 """One caller's request from its arrival to its end."""
 
-import asyncio
-
 from vanillayoke.core import events as log_events
 from vanillayoke.core import failures
 from vanillayoke.gateway import catalog as catalog_module
@@ -14,6 +12,7 @@
 from vanillayoke.gateway import unary
 from vanillayoke.scheduling import quotas
 from vanillayoke.transport import server
+import asyncio
 
 # What is left of the route's or the caller's time when the system's own
 # answer goes out: enough for it to arrive in time.
@@ -188,7 +187,7 @@
             program=call.program.name if call.program else None,
             previous=call.previous_turn or None,
             budget=call.program.budget if call.program else None,
-            most=call.most_tokens or None,
+            most=call.max_tokens or None,
             route=progress.route.name if progress.route else None,
             target=progress.target,
             outcome=outcome,
--- a/libs/gateway/vanillayoke/gateway/context.py
+++ b/libs/gateway/vanillayoke/gateway/context.py
@@ -1,7 +1,5 @@
 """What all parts of an instance use."""
 
-import typing
-
 from vanillayoke.core import logs
 from vanillayoke.core import timers
 from vanillayoke.gateway import access as access_module
@@ -9,14 +7,14 @@
 from vanillayoke.gateway import dialect as dialect_module
 from vanillayoke.gateway import histories as histories_module
 from vanillayoke.gateway import limits as limits_module
+from vanillayoke.gateway import load_queries
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import metrics as metrics_module
 from vanillayoke.gateway import reservations as reservations_module
-from vanillayoke.gateway import scouting
 from vanillayoke.gateway import store as store_module
 from vanillayoke.scheduling import occupancy
 from vanillayoke.transport import client
-
+import typing
 
 class Context(typing.NamedTuple):
     """The parts that serving a request takes.
@@ -36,7 +34,7 @@
     pool: client.Pool
     store: store_module.StoreClient
     reservations: reservations_module.Reservations
-    load_queries: scouting.Scouts
+    load_queries: load_queries.LoadQueries
     histories: histories_module.Histories
     log: logs.Logger
     metrics: metrics_module.Metrics
--- a/libs/gateway/vanillayoke/gateway/coordinator_client.py
+++ b/libs/gateway/vanillayoke/gateway/coordinator_client.py
@@ -1,11 +1,10 @@
 """Requests to the coordinators of programs, skipping unresponsive ones."""
 
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import rendezvous
+import typing
 
 # The second instance in rank is asked if the first does not respond or is
 # leaving.
@@ -58,7 +57,7 @@
         home: rendezvous.Peer,
         question: peer_messages.Reserve,
         deadline: float,
-    ) -> peer_messages.Answer | None:
+    ) -> peer_messages.Response | None:
         """Request a reservation; settle it if no final response arrives.
 
         The coordinator may have reserved or may do so later, and nothing else
@@ -66,7 +65,8 @@
         """
         answer = peer_messages.Pending()
         try:
-            answer = await self._peers.ask(home.address, question, deadline)
+            answer = await self._peers.send_request(
+                home.address, question, deadline)
             if answer is None:
                 self._silent[home.instance] = self._timers.now()
         finally:
@@ -81,11 +81,11 @@
         self, address: str, question: peer_messages.Settle
     ) -> None:
         """Notify the instance that made a reservation that its turn ended."""
-        await self._peers.ask(
+        await self._peers.send_request(
             address,
             question,
             self._timers.now(),
-            peers_module.LASTING_REPEATS,
+            peers_module.LONG_RETRY_TIMEOUTS_SECONDS,
         )
 
     def prune(self) -> None:
--- a/libs/gateway/vanillayoke/gateway/dispatch.py
+++ b/libs/gateway/vanillayoke/gateway/dispatch.py
@@ -166,20 +166,20 @@
         progress: Progress,
         target: messages.Target,
         last_event: bytes | None = None,
-    ) -> messages.Sending:
+    ) -> messages.ForwardOptions:
         """Return what to tell a target with the request.
 
         ``last_event`` is the one that a stream goes on behind.
         """
         now = self._context.timers.now()
         progress.urgency = self._find_level(progress)
-        return messages.Sending(
+        return messages.ForwardOptions(
             target.name,
             progress.deadline - now,
             progress.urgency,
             last_event,
             organisation=progress.organisation_name,
-            hides_key=progress.hides_key,
+            strips_key=progress.hides_key,
         )
 
     def _find_level(self, progress: Progress) -> int | None:
@@ -232,7 +232,7 @@
         near, far = occupancy.choose_candidates(
             places, view, wish, passed, now, draw
         )
-        loads = await self._context.load_queries.count(near)
+        loads = await self._context.load_queries.query(near)
         now = self._context.timers.now()
         best = occupancy.choose_least_loaded(
             near, loads, view, wish, now, draw
@@ -240,7 +240,7 @@
         if best is None or not occupancy.is_lightly_loaded(
             best, loads, view, wish
         ):
-            loads |= await self._context.load_queries.count(far)
+            loads |= await self._context.load_queries.query(far)
             now = self._context.timers.now()
             found = [*near, *far]
             best = occupancy.choose_least_loaded(
--- a/libs/gateway/vanillayoke/gateway/endpoints.py
+++ b/libs/gateway/vanillayoke/gateway/endpoints.py
@@ -1,15 +1,13 @@
 """What an instance answers beside the requests of programs."""
 
-import random
-import typing
-
 from vanillayoke.cluster import messages as cluster_messages
 from vanillayoke.gateway import dialect as dialect_module
 from vanillayoke.gateway import directory
 from vanillayoke.gateway import members as members_module
 from vanillayoke.gateway import store as store_module
 from vanillayoke.transport import server
-
+import random
+import typing
 
 class Endpoints:
     """Readiness, addresses for callers, and the way to the store."""
@@ -52,7 +50,7 @@
         if not addresses:
             responder.send(503, [], b'')
             return
-        body = self._dialect.encode_addresses(addresses, directory.LIFETIME)
+        body = self._dialect.encode_addresses(addresses, directory.TTL_SECONDS)
         kind = (b'Content-Type', b'application/json')
         responder.send(200, [kind], body)
 
--- a/libs/gateway/vanillayoke/gateway/forwarding.py
+++ b/libs/gateway/vanillayoke/gateway/forwarding.py
@@ -1,14 +1,13 @@
 """One request at one target: sending it and reading the answer."""
 
-import asyncio
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import dialect as dialect_module
+from vanillayoke.gateway import load_queries
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import scouting
 from vanillayoke.scheduling import occupancy
 from vanillayoke.transport import client
+import asyncio
+import typing
 
 # The status of a server that is not the one that was expected.
 _MISDIRECTED = 421
@@ -43,7 +42,7 @@
         target: messages.Target,
         request: str,
         deadline: float,
-        load_queries: scouting.Scouts,
+        load_queries: load_queries.LoadQueries,
         pool: client.Pool,
         dialect: dialect_module.Dialect,
         occupancy: occupancy.Occupancy,
@@ -70,7 +69,7 @@
     async def __aenter__(self) -> typing.Self:
         self.started_at = self._timers.now()
         self._occupancy.begin(self.target.name)
-        self._load_queries.begin(
+        self._load_queries.record_start(
             self.target, self._request, self._deadline - self.started_at
         )
         self._occupancy.record_probe(self.target.name, self.started_at)
@@ -83,7 +82,7 @@
         trace: object,
     ) -> None:
         self._occupancy.end(self.target.name)
-        self._load_queries.end(
+        self._load_queries.record_end(
             self.target, self._request, self._reported, self.latency_ratio
         )
         if isinstance(error, asyncio.CancelledError):
@@ -98,7 +97,10 @@
             self._occupancy.record_outcome(self.target.name, False, now)
 
     async def send(
-        self, call: messages.Call, sending: messages.Sending, is_young: bool
+        self,
+        call: messages.Call,
+        sending: messages.ForwardOptions,
+        is_young: bool,
     ) -> client.Head:
         """Send the request and return the head of the answer.
 
@@ -127,7 +129,7 @@
             # Read to its end, so that the connection can be used again.
             await connection.read_body()
             raise NotExecutedError(head.status)
-        if not facts.is_stamped and head.status < _FIRST_FAILURE:
+        if not facts.is_signed and head.status < _FIRST_FAILURE:
             raise client.BadAnswer('the answer is not signed')
         return head
 
@@ -144,7 +146,7 @@
         request = self._dialect.decode_answer(head).request
         return request is None or request == call.request
 
-    def _take_facts(self, head: client.Head) -> messages.AnswerFacts:
+    def _take_facts(self, head: client.Head) -> messages.ResponseMetadata:
         facts = self._dialect.decode_answer(head)
         if facts.load is not None:
             report = occupancy.LoadReport(*facts.load)
--- a/libs/gateway/vanillayoke/gateway/histories.py
+++ b/libs/gateway/vanillayoke/gateway/histories.py
@@ -1,14 +1,13 @@
 """Turns kept in the store, and their text for the turns that follow."""
 
-import collections
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import partitions
 from vanillayoke.gateway import retries
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import transcripts
+import collections
+import typing
 
 TABLE = 'turns'
 # Texts of the latest turns stay in memory up to this many bytes: the next
@@ -110,7 +109,7 @@
         places = partitions.list_candidates(turn, CANDIDATE_PARTITION_COUNT)
         pause = retries.INITIAL_BACKOFF_SECONDS
         while True:
-            for part in sorted(places, key=self._store.is_suspect):
+            for part in sorted(places, key=self._store.has_recent_failure):
                 left = until - self._timers.now()
                 patience = min(left, retries.compute_timeout(self._store))
                 try:
@@ -121,10 +120,10 @@
                     failure = error
             pause = min(retries.MAX_BACKOFF_SECONDS, pause * 2)
             left = until - self._timers.now()
-            is_hopeless = self._store.is_closed and not is_patient
+            is_hopeless = self._store.is_unreachable and not is_patient
             if is_hopeless or left <= retries.MIN_ATTEMPT_SECONDS:
                 raise failure
-            await self._store.wait_open(min(pause, left))
+            await self._store.wait_before_retry(min(pause, left))
 
     async def _write(
         self, part: str, rows: list[tuple[str, bytes]], patience: float
@@ -144,7 +143,7 @@
             return
         # An earlier try of ours may have taken effect without an answer.
         if not any(found.value == value for found in outcome.rows):
-            raise store_module.StoreSilentError(
+            raise store_module.StoreOutcomeUnknownError(
                 f'turn {where.key} is kept with another text'
             )
 
@@ -204,7 +203,7 @@
     try:
         return transcripts.decode_rows(turn, rows)
     except transcripts.CorruptTurnError as error:
-        raise store_module.StoreSilentError(str(error)) from error
+        raise store_module.StoreOutcomeUnknownError(str(error)) from error
 
 
 def _split(
--- a/libs/gateway/vanillayoke/gateway/instance.py
+++ b/libs/gateway/vanillayoke/gateway/instance.py
@@ -1,10 +1,5 @@
 """One instance: its parts, its start, its planned stop."""
 
-import asyncio
-import functools
-import random
-import typing
-
 from vanillayoke.core import events as log_events
 from vanillayoke.core import logs
 from vanillayoke.core import timers
@@ -16,12 +11,13 @@
 from vanillayoke.gateway import directory
 from vanillayoke.gateway import endpoints
 from vanillayoke.gateway import exclusivity as exclusivity_module
-from vanillayoke.gateway import followed
+from vanillayoke.gateway import health_gossip
 from vanillayoke.gateway import histories
 from vanillayoke.gateway import instrumentation
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import limits as limits_module
+from vanillayoke.gateway import load_queries
 from vanillayoke.gateway import members as members_module
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import metrics as metrics_module
@@ -29,16 +25,19 @@
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import rendezvous
 from vanillayoke.gateway import reservations as reservations_module
-from vanillayoke.gateway import scouting
 from vanillayoke.gateway import store as store_module
 from vanillayoke.gateway import sweeping
-from vanillayoke.gateway import verdict_news
-from vanillayoke.gateway import version_news
+from vanillayoke.gateway import table_sync
+from vanillayoke.gateway import version_gossip
 from vanillayoke.scheduling import occupancy
 from vanillayoke.scheduling import shared_health
 from vanillayoke.transport import client
 from vanillayoke.transport import datagrams
 from vanillayoke.transport import server
+import asyncio
+import functools
+import random
+import typing
 
 # Targets are a millisecond away; one that does not accept a connection for
 # this long is not there, or has a full queue. Seconds.
@@ -48,7 +47,7 @@
 RELAY_PORT_OFFSET = 1
 # Callers that keep an address longest keep it for three of its lifetimes;
 # one more second lets their last requests come in. Seconds.
-MIN_DRAIN_SECONDS = 3 * directory.LIFETIME + 1.0
+MIN_DRAIN_SECONDS = 3 * directory.TTL_SECONDS + 1.0
 # What is left of the grace when the process ends at the latest. Seconds.
 GRACE_MARGIN_SECONDS = 0.7
 
@@ -79,7 +78,7 @@
         self._make_components()
         self._make_members()
         self._make_servers()
-        self._table_sync = followed.Followed(
+        self._table_sync = table_sync.TableSync(
             self._store,
             dialect,
             self._catalog,
@@ -111,7 +110,7 @@
 
         Others can do for callers what this instance can't.
         """
-        return self._store.is_away and self._members.is_alone
+        return self._store.is_unavailable and self._members.is_in_minority
 
     @property
     def is_ready(self) -> bool:
@@ -120,7 +119,7 @@
             not self.is_draining
             and not self.is_isolated
             and self._catalog.configuration is not None
-            and self._catalog.has_targets
+            and self._catalog.has_read_targets
         )
 
     async def start(self) -> None:
@@ -129,7 +128,7 @@
         sender = await datagrams.DatagramSocket.bind(
             host, int(port), self._peers.receive
         )
-        self._peers.use(sender)
+        self._peers.set_sender(sender)
         self._sender = sender
         for http_server, address in self._listen:
             host, _, port = address.rpartition(':')
@@ -197,10 +196,10 @@
         )
         self._histories = histories.Histories(self._store, self._timers)
         known = shared_health.SharedHealth(settings.instance, draw)
-        self._health_gossip = verdict_news.VerdictNews(
+        self._health_gossip = health_gossip.HealthGossip(
             settings.instance,
             known,
-            lambda: self._members.list_homes(),
+            lambda: self._members.list_eligible(),
             self._timers,
             self._rng,
             self._instrumentation,
@@ -232,8 +231,8 @@
             settings.instance, self._started_at, settings.is_first_start
         )
         roster = rendezvous.MembershipView(
-            lambda: self._members.list_homes(),
-            lambda: self._members.list_live_homes(),
+            lambda: self._members.list_eligible(),
+            lambda: self._members.list_live_eligible(),
             lambda: self._members.list_reachable(),
             lambda: self._members.list_failed(),
         )
@@ -246,22 +245,22 @@
             self._exclusivity,
             self._instrumentation.record_credit_grant,
         )
-        self._load_queries = scouting.Scouts(
+        self._load_queries = load_queries.LoadQueries(
             settings.instance,
-            lambda: self._members.list_homes(),
+            lambda: self._members.list_eligible(),
             self._timers,
         )
-        self._version_gossip = version_news.VersionNews(
+        self._version_gossip = version_gossip.VersionGossip(
             self._row,
             self._relay_address,
             self._dialect.configuration_table,
             self._store,
-            lambda: self._members.list_homes(),
+            lambda: self._members.list_eligible(),
             self._timers,
             self._rng,
             self._spawn,
             lambda: self._catalog.version,
-            lambda page: self._table_sync.take_configuration(page),
+            lambda page: self._table_sync.apply_configuration(page),
         )
         tolerance = settings.bounds.limits
         self._limit_accounts = limit_accounts.LimitAccounts(
@@ -269,7 +268,7 @@
             self._store,
             self._timers,
             self._spawn,
-            lambda: self._members.find_lost_share(tolerance.window),
+            lambda: self._members.compute_lost_ratio(tolerance.window),
             lambda: (
                 self._reservations.is_leaving and bool(roster.list_eligible())
             ),
@@ -283,23 +282,25 @@
             self._timers,
             self._spawn,
             lambda: self._catalog.version,
-            lambda: self._members.is_alone or self._members.is_unheard,
+            lambda: (
+                self._members.is_in_minority or self._members.has_lost_contact
+            ),
             self._rng.random,
         )
         self._peers = peers_module.Peers(
             self._timers,
             self._answer_peer,
             lambda data, sender: self._members.receive(data, sender),
-            self._health_gossip.hear,
-            self._load_queries.take,
-            self._version_gossip.hear,
+            self._health_gossip.receive,
+            self._load_queries.handle,
+            self._version_gossip.receive,
             incarnation,
         )
-        self._version_gossip.use(self._peers)
+        self._version_gossip.set_peers(self._peers)
         self._limits.set_peers(self._peers)
         self._reservations.set_peers(self._peers)
-        self._load_queries.use(self._peers)
-        self._health_gossip.use(self._peers)
+        self._load_queries.set_peers(self._peers)
+        self._health_gossip.set_peers(self._peers)
         self._members = members_module.Members(
             self._row,
             self._timers,
@@ -354,11 +355,11 @@
 
     # Other instances
 
-    def _answer_peer(self, question: peer_messages.Question) -> typing.Any:
+    def _answer_peer(self, question: peer_messages.Request) -> typing.Any:
         match question:
-            case peer_messages.Count():
-                return self._load_queries.answer(question)
-            case peer_messages.Usage():
+            case peer_messages.LoadQuery():
+                return self._load_queries.handle_request(question)
+            case peer_messages.UsageReport():
                 return self._limit_accounts.handle_request(question)
         return self._reservations.handle_request(question)
 
@@ -374,18 +375,18 @@
 
     async def _join(self) -> None:
         """Become known to the others once there is something to serve."""
-        await self._table_sync.wait()
+        await self._table_sync.wait_until_loaded()
         self._members.start()
         self._exclusivity.record_joined(self._timers.now())
         self._apply_limits()
         ms = round((self._timers.now() - self._started_at) * 1000)
         self._log.write(log_events.GATEWAY_READY, ms=ms)
-        await self._table_sync.publish(self._row)
+        await self._table_sync.publish_instance(self._row)
         await sweeping.Sweeper(
             self.settings.instance,
             self._store,
             self._catalog,
-            self._members.list_homes,
+            self._members.list_eligible,
             self._timers,
         ).run()
 
@@ -396,7 +397,7 @@
             now, self._timers.wall(), reservations_module.TICK_INTERVAL_SECONDS
         )
         self._exclusivity.update_incarnation(self._members.incarnation, now)
-        homes = self._members.list_homes()
+        homes = self._members.list_eligible()
         self._exclusivity.update_members((one.instance for one in homes), now)
 
     def _run_maintenance(self) -> None:
@@ -409,8 +410,8 @@
         self._reservations.prune()
         self._limits.prune()
         self._limit_accounts.prune()
-        self._occupancy.retain(self._catalog.names)
-        self._load_queries.forget(self._catalog.names)
+        self._occupancy.retain(self._catalog.target_names)
+        self._load_queries.retain(self._catalog.target_names)
 
     def _forget_former(self, target: messages.Target) -> None:
         """Forget what was known of a server's process that has ended.
@@ -420,7 +421,7 @@
         """
         self._pool.drop(target.address)
         self._occupancy.handle_restart(target.name)
-        self._load_queries.restart(target.name)
+        self._load_queries.handle_restart(target.name)
         self._log.write(
             log_events.SERVER_RESTARTED,
             target=target.name,
@@ -473,7 +474,7 @@
             self._instrumentation.record_store_recovered()
             self._reservations.record_credit()
         else:
-            self._instrumentation.record_store_lost(self._store.usual_time)
+            self._instrumentation.record_store_lost(self._store.average_latency)
 
 
 def get_relay_address(address: str) -> str:
--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -1,17 +1,15 @@
 """Accounts of the limits that this instance coordinates."""
 
-import asyncio
-import typing
-
-import msgspec
-import xxhash
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import partitions
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import store as store_module
 from vanillayoke.scheduling import quotas
+import asyncio
+import msgspec
+import typing
+import xxhash
 
 TABLE = 'limits'
 ACCOUNT_IDLE_SECONDS = 60.0
@@ -76,11 +74,11 @@
         self._entries: dict[str, _Entry] = {}
 
     def handle_request(
-        self, question: peer_messages.Usage
+        self, question: peer_messages.UsageReport
     ) -> (
-        peer_messages.Standing
-        | peer_messages.Unable
-        | typing.Coroutine[typing.Any, typing.Any, peer_messages.Standing]
+        peer_messages.LimitStatus
+        | peer_messages.Unavailable
+        | typing.Coroutine[typing.Any, typing.Any, peer_messages.LimitStatus]
     ):
         """Record the reported usage and decide on the request, if any.
 
@@ -88,20 +86,20 @@
         at once: two instances that admit concurrently would admit too much.
         """
         if self._is_leaving():
-            return peer_messages.Unable(False)
+            return peer_messages.Unavailable(False)
         name = question.organisation
         entry = self._entries.get(name)
         if entry is None:
             entry = _Entry(quotas.Account(self._window, self._needs))
             self._entries[name] = entry
             self._begin(name, entry)
-        elif question.is_moved and self._is_settled(entry):
+        elif question.is_reassigned and self._is_settled(entry):
             # Another instance has been the coordinator meanwhile.
             self._begin(name, entry)
         self._take(entry, question)
         if entry.opening is not None:
-            if question.asked is None:
-                return peer_messages.Standing(is_close=True)
+            if question.pending is None:
+                return peer_messages.LimitStatus(is_near_limit=True)
             return self._answer_opened(entry, question)
         return self._decide(entry, question)
 
@@ -123,14 +121,16 @@
         is_over = self._timers.now() > entry.settled_at + SETTLING_SECONDS
         return entry.opening is None and is_over
 
-    def _take(self, entry: _Entry, question: peer_messages.Usage) -> None:
+    def _take(
+        self, entry: _Entry, question: peer_messages.UsageReport
+    ) -> None:
         now = self._timers.now()
         account = entry.account
         account.set_limit(question.limit, question.version)
-        if question.is_whole:
+        if question.is_full:
             account.window.remove_reporter(question.reporter)
-        for used in question.used:
-            at = now - used.age / 1000
+        for used in question.records:
+            at = now - used.age_ms / 1000
             account.window.add(question.reporter, at, used.count)
             asked = quotas.AdmissionRequest(used.program, used.route)
             account.record(asked, used.count, now)
@@ -138,15 +138,15 @@
         account.last_used_at = now
 
     async def _answer_opened(
-        self, entry: _Entry, question: peer_messages.Usage
-    ) -> peer_messages.Standing:
+        self, entry: _Entry, question: peer_messages.UsageReport
+    ) -> peer_messages.LimitStatus:
         if entry.opening is not None:
             await asyncio.wait((entry.opening,))
         return self._decide(entry, question)
 
     def _decide(
-        self, entry: _Entry, question: peer_messages.Usage
-    ) -> peer_messages.Standing:
+        self, entry: _Entry, question: peer_messages.UsageReport
+    ) -> peer_messages.LimitStatus:
         now = self._timers.now()
         account = entry.account
         if now >= entry.settled_at:
@@ -155,12 +155,12 @@
         else:
             reserve = quotas.get_initial_reserve(account.limit, entry.is_known)
         account.reserve = reserve
-        standing = peer_messages.Standing(False)
-        if question.asked is not None:
-            asked = quotas.AdmissionRequest(*question.asked)
+        standing = peer_messages.LimitStatus(False)
+        if question.pending is not None:
+            asked = quotas.AdmissionRequest(*question.pending)
             match account.request_admission(question.reporter, asked, now):
                 case quotas.Refused() as found:
-                    standing = peer_messages.Standing(
+                    standing = peer_messages.LimitStatus(
                         False,
                         _describe(found, account),
                         found.retry_after,
@@ -170,7 +170,7 @@
                     entry.unsaved += 1
         self._save_soon(question.organisation, entry)
         return msgspec.structs.replace(
-            standing, is_close=account.is_near_limit(now)
+            standing, is_near_limit=account.is_near_limit(now)
         )
 
     # The store
@@ -196,7 +196,7 @@
         where = _locate(name)
         page = await self._store.read(
             TABLE,
-            where.part,
+            where.partition,
             READ_TIMEOUT_SECONDS,
             where.key,
             where.key + '\0',
--- a/libs/gateway/vanillayoke/gateway/limits.py
+++ b/libs/gateway/vanillayoke/gateway/limits.py
@@ -6,10 +6,6 @@
 coordinator afterwards; otherwise it asks first.
 """
 
-import asyncio
-import collections
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import messages
@@ -18,6 +14,9 @@
 from vanillayoke.gateway import refusals
 from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import quotas
+import asyncio
+import collections
+import typing
 
 # Distinguishes the keys of limits from those of programs.
 KEY_PREFIX = 'limit/'
@@ -233,19 +232,19 @@
             if answer is None:
                 self._admit_alone(usage, asked)
                 return
-            if answer.refused is None:
+            if answer.refusal_reason is None:
                 # The coordinator has counted the request already.
                 usage.add(self._timers.now(), asked, 1, is_told=True)
                 self._usages[organisation] = usage
                 return
             now = self._timers.now()
-            if answer.is_new or now + answer.pause > deadline:
+            if answer.is_new_program or now + answer.retry_after > deadline:
                 raise refusals.RefusalError(
                     refusals.Reason.OVER_LIMIT,
-                    f'{answer.refused}; counted by {usage.home}',
-                    answer.pause,
+                    f'{answer.refusal_reason}; counted by {usage.home}',
+                    answer.retry_after,
                 )
-            await self._timers.sleep(answer.pause)
+            await self._timers.sleep(answer.retry_after)
 
     def _admit_alone(
         self, usage: _Usage, asked: quotas.AdmissionRequest
@@ -291,7 +290,7 @@
         organisation: str,
         usage: _Usage,
         asked: quotas.AdmissionRequest | None,
-    ) -> peer_messages.Standing | None:
+    ) -> peer_messages.LimitStatus | None:
         """Report unreported requests to the coordinator; return its response.
 
         Return ``None`` if no instance responds.
@@ -302,8 +301,8 @@
                 break
             question = self._make_question(organisation, usage, home, asked)
             answer = await self._put(home, question)
-            if isinstance(answer, peer_messages.Standing):
-                usage.is_close = answer.is_close
+            if isinstance(answer, peer_messages.LimitStatus):
+                usage.is_close = answer.is_near_limit
                 usage.is_cut_off = False
                 usage.answered_at = self._timers.now()
                 return answer
@@ -321,19 +320,19 @@
         usage: _Usage,
         home: str,
         asked: quotas.AdmissionRequest | None,
-    ) -> peer_messages.Usage:
+    ) -> peer_messages.UsageReport:
         now = self._timers.now()
         usage.prune(now - self._window)
         is_whole = usage.home != home
         is_moved = is_whole and (usage.home is not None or usage.has_moved)
         usage.home = home
-        return peer_messages.Usage(
+        return peer_messages.UsageReport(
             organisation,
             self._reporter,
             usage.limit,
             usage.version,
             tuple(
-                peer_messages.Used(
+                peer_messages.UsageRecord(
                     round((now - entry.at) * 1000),
                     entry.asked.program,
                     entry.asked.route,
@@ -347,8 +346,8 @@
         )
 
     async def _put(
-        self, home: str, question: peer_messages.Usage
-    ) -> peer_messages.Answer | None:
+        self, home: str, question: peer_messages.UsageReport
+    ) -> peer_messages.Response | None:
         if home == self._instance:
             answer = self._accounts.handle_request(question)
             if asyncio.iscoroutine(answer):
@@ -356,7 +355,7 @@
             return answer
         address = self._find_address(home)
         deadline = self._timers.now() + limit_accounts.READ_TIMEOUT_SECONDS
-        return await self._peers.ask(address, question, deadline)
+        return await self._peers.send_request(address, question, deadline)
 
     def _find_address(self, home: str) -> str:
         return next(
--- a/libs/gateway/vanillayoke/gateway/reservations.py
+++ b/libs/gateway/vanillayoke/gateway/reservations.py
@@ -7,10 +7,6 @@
 reserve do so from separate grants.
 """
 
-import asyncio
-import collections
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import background
 from vanillayoke.gateway import coordinator_client
@@ -23,6 +19,9 @@
 from vanillayoke.gateway import store as store_module
 from vanillayoke.gateway import token_transfers
 from vanillayoke.scheduling import program_slack
+import asyncio
+import collections
+import typing
 
 # How long the store may take on behalf of another instance.
 HOME_PATIENCE = 2.5
@@ -159,9 +158,9 @@
             match answer:
                 case peer_messages.Granted(slack, target):
                     return Reservation(True, home.address, slack, target)
-                case peer_messages.Spent():
+                case peer_messages.BudgetExhausted():
                     return Reservation(False, home.address, None)
-                case peer_messages.Unable(is_store=True):
+                case peer_messages.Unavailable(is_store_unavailable=True):
                     raise store_module.StoreRefusedError(
                         f'{home.instance} could not ask the store'
                     )
@@ -230,7 +229,7 @@
         if self._timers.now() - self._began < JOIN_PERIOD_SECONDS:
             await self._transfers.collect_from_former(question.program)
         is_sure = self._is_sure(question.program)
-        if is_sure and question.may_owe:
+        if is_sure and question.allow_credit:
             if await self._reserve_soon(question):
                 return ledger_module.Outcome.GRANTED
         extra = 0
@@ -306,7 +305,7 @@
         never gets credit could otherwise be refused as spent at its first
         turn after one or two coordinators failed.
         """
-        if question.may_owe and question.program in self._uncharged:
+        if question.allow_credit and question.program in self._uncharged:
             del self._uncharged[question.program]
             self._ledger.charge_former_credit(
                 question.program, question.budget, question.need
@@ -332,7 +331,7 @@
 
     def _give_credit(self, question: peer_messages.Reserve) -> bool:
         """Reserve without the store, if that can't exceed the budget."""
-        if not question.may_owe or not self._is_sure(question.program):
+        if not question.allow_credit or not self._is_sure(question.program):
             return False
         tokens = self._ledger.reserve_on_credit(
             question.program, question.budget, question.turn, question.need
@@ -375,7 +374,7 @@
         self._program_tracker.record_delay(
             question.program,
             question.session,
-            question.lost,
+            question.delay,
             self._timers.now(),
         )
         if question.target is not None:
@@ -410,10 +409,10 @@
         return peer_messages.Granted(self._arrive(question), target)
 
     def handle_request(
-        self, question: peer_messages.Question
+        self, question: peer_messages.Request
     ) -> (
-        peer_messages.Answer
-        | typing.Coroutine[typing.Any, typing.Any, peer_messages.Answer]
+        peer_messages.Response
+        | typing.Coroutine[typing.Any, typing.Any, peer_messages.Response]
     ):
         """Handle a request of another instance."""
         match question:
@@ -430,41 +429,41 @@
                 return self._transfers.release(program, asker)
             case peer_messages.Reserve(program, _, turn, need):
                 if (program, turn) in self._ended:
-                    return peer_messages.Unable(False)
+                    return peer_messages.Unavailable(False)
                 self._charge(question)
                 if self._ledger.try_reserve(program, turn, need):
                     self._top_up(question)
                     return self._grant(question)
                 if self.is_leaving and self._membership.list_eligible():
-                    return peer_messages.Unable(False)
+                    return peer_messages.Unavailable(False)
                 if self._ledger.is_store_unreachable:
                     if self._give_credit(question):
                         return self._grant(question)
-                    return peer_messages.Unable(True)
+                    return peer_messages.Unavailable(True)
                 return self._reserve_for_other(question)
 
     async def _give_up_sure(
         self, program: str, asker: str
-    ) -> peer_messages.Answer:
+    ) -> peer_messages.Response:
         """Hand over tokens after confirming this instance's writes."""
         try:
             await self._ledger.confirm_writes(program)
         except store_module.StoreError:
-            return peer_messages.Unable(True)
+            return peer_messages.Unavailable(True)
         return self._transfers.release(program, asker)
 
     async def _reserve_for_other(
         self, question: peer_messages.Reserve
-    ) -> peer_messages.Answer:
+    ) -> peer_messages.Response:
         deadline = self._timers.now() + HOME_PATIENCE
         try:
             outcome = await self._reserve_from_store(question, deadline)
         except store_module.StoreError:
-            return peer_messages.Unable(True)
+            return peer_messages.Unavailable(True)
         if outcome is ledger_module.Outcome.SPENT:
-            return peer_messages.Spent()
+            return peer_messages.BudgetExhausted()
         if (question.program, question.turn) in self._ended:
             # The requesting instance has timed out and settled the turn.
             self._ledger.settle(question.program, question.turn, 0)
-            return peer_messages.Unable(False)
+            return peer_messages.Unavailable(False)
         return self._grant(question)
--- a/libs/gateway/vanillayoke/gateway/retries.py
+++ b/libs/gateway/vanillayoke/gateway/retries.py
@@ -36,16 +36,17 @@
         except store_module.StoreError:
             pause = min(MAX_BACKOFF_SECONDS, pause * 2)
             left = deadline - timer_service.now()
-            if left <= pause or store.is_closed:
+            if left <= pause or store.is_unreachable:
                 raise
-            await store.wait_open(pause)
+            await store.wait_before_retry(pause)
 
 
 def compute_timeout(store: store_module.StoreClient) -> float:
     """Return the timeout of one call to the store, in seconds."""
     return min(
-        store_module.LONGEST_PATIENCE,
+        store_module.MAX_TIMEOUT_SECONDS,
         max(
-            MIN_TIMEOUT_SECONDS, store_module.PATIENCE_TIMES * store.usual_time
+            MIN_TIMEOUT_SECONDS,
+            store_module.TIMEOUT_FACTOR * store.average_latency,
         ),
     )
--- a/libs/gateway/vanillayoke/gateway/store_waiting.py
+++ b/libs/gateway/vanillayoke/gateway/store_waiting.py
@@ -1,11 +1,10 @@
 """Turns that wait for the store: until when, and what they are told then."""
 
-import typing
-
 from vanillayoke.gateway import context as context_module
 from vanillayoke.gateway import dispatch
 from vanillayoke.gateway import refusals
 from vanillayoke.scheduling import outages
+import typing
 
 # How often a turn that waits asks whether its time is over. Seconds.
 PAUSE = 0.1
@@ -55,7 +54,7 @@
                 str(error),
                 outages.MIN_PAUSE_SECONDS,
             ) from error
-        await self._context.store.wait_open(min(left, PAUSE))
+        await self._context.store.wait_before_retry(min(left, PAUSE))
 
     def find_latest_start(self, progress: dispatch.Progress) -> float:
         """Return until when a turn can wait and still be served."""
@@ -98,7 +97,8 @@
     def _find_outage(self, now: float) -> outages.Outage:
         availability = self._context.store.availability
         return outages.Outage(
-            availability.get_age(now), tuple(availability.outages)
+            availability.get_outage_duration(now),
+            tuple(availability.outage_durations),
         )
 
     def _find_silence_end(self, progress: dispatch.Progress) -> float:
@@ -106,8 +106,8 @@
         route = progress.route
         silence = max(
             SHORTEST_SILENCE,
-            OBJECTIVE_TIMES * route.objective,
-            GAP_TIMES * route.longest_gap,
+            OBJECTIVE_TIMES * route.latency_objective,
+            GAP_TIMES * route.max_gap,
         )
         return min(
             progress.deadline, progress.started_at + silence - SILENCE_MARGIN
--- a/libs/gateway/vanillayoke/gateway/sweeping.py
+++ b/libs/gateway/vanillayoke/gateway/sweeping.py
@@ -5,10 +5,6 @@
 double removal.
 """
 
-import typing
-
-import msgspec
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import catalog as catalog_module
 from vanillayoke.gateway import histories
@@ -20,6 +16,8 @@
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import grants
 from vanillayoke.programs import transcripts
+import msgspec
+import typing
 
 # The time in which all partitions are swept once.
 SWEEP_INTERVAL_SECONDS = 600.0
@@ -64,7 +62,7 @@
         home = rendezvous.find_coordinator(part, self._list_members())
         if home is None or home.instance != self._instance:
             return
-        if self._store.is_away or self._catalog.configuration is None:
+        if self._store.is_unavailable or self._catalog.configuration is None:
             return
         for table, read_time in _TABLES:
             try:
--- a/libs/gateway/vanillayoke/gateway/token_transfers.py
+++ b/libs/gateway/vanillayoke/gateway/token_transfers.py
@@ -4,10 +4,6 @@
 budget's row counts them as granted either way.
 """
 
-import asyncio
-import collections
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import background
 from vanillayoke.gateway import ledger as ledger_module
@@ -15,6 +11,9 @@
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import rendezvous
 from vanillayoke.gateway import store as store_module
+import asyncio
+import collections
+import typing
 
 # Instances that are asked for a program's tokens besides those named by its
 # row, in order of their scores: a stopping instance transfers its tokens to
@@ -90,7 +89,7 @@
             )
         return len(programs)
 
-    def release(self, program: str, asker: str) -> peer_messages.Handed:
+    def release(self, program: str, asker: str) -> peer_messages.HandedOver:
         """Release the free tokens; return them with their former receivers.
 
         While all instances are leaving, their membership views differ. Tokens
@@ -101,7 +100,7 @@
         tokens = self._ledger.withdraw(program)
         if tokens > 0 and asker:
             self._note_receiver(program, asker)
-        return peer_messages.Handed(tokens, before)
+        return peer_messages.HandedOver(tokens, before)
 
     def _note_receiver(self, program: str, receiver: str) -> None:
         others = [
@@ -240,14 +239,14 @@
 
     async def _ask_for_tokens(
         self, program: str, holder: rendezvous.Peer
-    ) -> peer_messages.Handed | None:
-        answer = await self._peers.ask(
+    ) -> peer_messages.HandedOver | None:
+        answer = await self._peers.send_request(
             holder.address,
             peer_messages.HandOver(program, self._instance),
             self._timers.now() + ANSWER_PATIENCE,
-            peers_module.LASTING_REPEATS,
+            peers_module.LONG_RETRY_TIMEOUTS_SECONDS,
         )
-        if not isinstance(answer, peer_messages.Handed):
+        if not isinstance(answer, peer_messages.HandedOver):
             return None
         if answer.tokens > 0:
             self._ledger.deposit(program, answer.tokens)
@@ -280,11 +279,11 @@
         # one never counts them twice.
         tokens = self._ledger.withdraw(program)
         self._note_receiver(program, home.instance)
-        await self._peers.ask(
+        await self._peers.send_request(
             home.address,
             peer_messages.Transfer(program, tokens),
             self._timers.now(),
-            peers_module.LASTING_REPEATS,
+            peers_module.LONG_RETRY_TIMEOUTS_SECONDS,
         )
         return tokens
 
--- a/libs/gateway/vanillayoke/gateway/turns.py
+++ b/libs/gateway/vanillayoke/gateway/turns.py
@@ -1,7 +1,5 @@
 """Turns of programs: streams within a budget, with history where kept."""
 
-import msgspec
-
 from vanillayoke.gateway import context as context_module
 from vanillayoke.gateway import dispatch
 from vanillayoke.gateway import forwarding
@@ -17,6 +15,7 @@
 from vanillayoke.transport import client
 from vanillayoke.transport import headers as headers_module
 from vanillayoke.transport import server
+import msgspec
 
 _DROPPED = frozenset((b'content-length',))
 _FIRST_FAILURE = 300
@@ -160,7 +159,7 @@
             progress.qualify(program.name),
             program.budget,
             progress.call.request,
-            progress.call.most_tokens,
+            progress.call.max_tokens,
             program.session,
             progress.route.name,
             program.time_left,
@@ -201,9 +200,9 @@
         """Return about how long it takes to serve a turn, in seconds."""
         first, each = self._find_usual(progress.service)
         events = USUAL_EVENTS
-        if progress.call.likely_tokens:
+        if progress.call.expected_tokens:
             size = self._find_event_tokens(progress.service)
-            events = progress.call.likely_tokens / size
+            events = progress.call.expected_tokens / size
         return first.value + each.value * events
 
     def _refuse_if_isolated(self) -> None:
@@ -234,7 +233,7 @@
         while True:
             # A turn that can't be kept would run for nothing.
             self._refuse_if_isolated()
-            if self._context.store.is_closed:
+            if self._context.store.is_unreachable:
                 await self._store_waiting.wait(progress, _AWAY)
                 continue
             if not progress.call.previous_turn:
--- a/libs/gateway/vanillayoke/gateway/unary.py
+++ b/libs/gateway/vanillayoke/gateway/unary.py
@@ -1,8 +1,5 @@
 """Requests with one response: read whole, then passed on."""
 
-import asyncio
-import typing
-
 from vanillayoke.gateway import context as context_module
 from vanillayoke.gateway import dispatch
 from vanillayoke.gateway import forwarding
@@ -12,6 +9,8 @@
 from vanillayoke.transport import client
 from vanillayoke.transport import headers as headers_module
 from vanillayoke.transport import server
+import asyncio
+import typing
 
 # Written anew for the caller.
 _DROPPED = frozenset((b'content-length',))
@@ -83,7 +82,7 @@
         self,
         progress: dispatch.Progress,
         attempt: forwarding.Attempt,
-        sending: messages.Sending,
+        sending: messages.ForwardOptions,
     ) -> Response:
         head = await attempt.send(
             progress.call, sending, not progress.route.is_idempotent
--- a/tests/gateway/test_credit.py
+++ b/tests/gateway/test_credit.py
@@ -1,15 +1,13 @@
 """Tests of turns on credit: programs go on while the store is away."""
 
-import asyncio
-
-import msgspec
-
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import exclusivity
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import rendezvous
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
+import asyncio
+import msgspec
 
 MOST = 40
 
@@ -208,14 +206,14 @@
         front._exclusivity.record_interruption(site.timers.now())
     for name, front in site.instances.items():
         # As in the moments behind a refusal of all other instances.
-        front._store.availability.is_away = True
-        front._store._relays.close()
+        front._store.availability.is_unavailable = True
+        front._store._relays.pause()
         program = _find_program_of(site, name)
         question = peer_messages.Reserve(
-            program, 800, 'turn', MOST, may_owe=True
+            program, 800, 'turn', MOST, allow_credit=True
         )
         case.assertEqual(
-            peer_messages.Unable(True),
+            peer_messages.Unavailable(True),
             front._reservations.handle_request(question),
         )
         case.assertEqual([], site.list_events(name, 'budget_on_credit'))
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -1,8 +1,5 @@
 """Tests of limits that hold over all instances of a site."""
 
-import asyncio
-import collections
-
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import limits as limits_module
@@ -12,6 +9,8 @@
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
+import asyncio
+import collections
 
 WINDOW = 5.0
 # In any window of five seconds: 5 x 4 + 20.
@@ -245,7 +244,9 @@
 def _ask(front, count=1):
     """Ask a front, as another instance does; return what it answers."""
     limit = quotas.Limit(10.0, 0.0, 3.0, WINDOW)
-    question = peer_messages.Usage('red', 'x', limit, 2, asked=('p', ''))
+    question = peer_messages.UsageReport(
+        'red', 'x', limit, 2, pending=('p', '')
+    )
     return [
         front._limit_accounts.handle_request(question) for _ in range(count)
     ]
@@ -261,7 +262,7 @@
     home = site.instances[rank_homes()[0]]
     stop = asyncio.ensure_future(home.stop())
     await asyncio.sleep(0.1)
-    case.assertEqual([peer_messages.Unable(False)], _ask(home))
+    case.assertEqual([peer_messages.Unavailable(False)], _ask(home))
     await stop
 
 
@@ -271,11 +272,11 @@
     site.store.mode = store_module.Mode.UNAVAILABLE
     home = site.instances[rank_homes()[0]]
     answers = await _await_all(_ask(home, 8))
-    admitted = sum(one.refused is None for one in answers)
+    admitted = sum(one.refusal_reason is None for one in answers)
     case.assertLessEqual(admitted, 3)
     await asyncio.sleep(limit_accounts.SETTLING_SECONDS + 0.1)
     [answer] = await _await_all(_ask(home))
-    case.assertIsNone(answer.refused)
+    case.assertIsNone(answer.refusal_reason)
 
 
 async def test_account_that_was_not_written_is_written_again(case, shop):
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -5,16 +5,14 @@
 it lies, and the budget not be split among them.
 """
 
-import asyncio
-
-import msgspec
-
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.testing import fixtures
+import asyncio
+import msgspec
 
 BUDGET = 175
 MOST = 100
@@ -120,7 +118,7 @@
     await asyncio.sleep(reservations_module.JOIN_PERIOD_SECONDS)
     await _use_a_part(site.instances['i2'], program)
     members = site.instances['i1']._members
-    failed = [one for one in members.list_homes() if one.instance == 'i2']
+    failed = [one for one in members.list_eligible() if one.instance == 'i2']
     members.list_reachable = lambda: []
     members.list_failed = lambda: failed
     question = peer_messages.Reserve(program, BUDGET, 'a', 120)
@@ -199,7 +197,7 @@
         peer='10.1.0.9:7380',
     )
     site.instances['i1']._members.put_row('i9', msgspec.json.encode(row))
-    homes = site.instances['i1']._members.list_homes()
+    homes = site.instances['i1']._members.list_eligible()
     case.assertIn('i9', [one.instance for one in homes])
     await _use_a_part(site.instances['i1'], program)
     await site.instances['i1']._reservations.hand_over()
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -1,13 +1,12 @@
 """Tests of organisations: their keys, and that nothing of theirs is shared."""
 
-import asyncio
-
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import messages
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
 from vanillayoke.transport import client
+import asyncio
 
 RED = calls.make_organisation('red', 'red-1', 'red-2')
 BLUE = calls.make_organisation('blue', 'blue-1')
@@ -153,7 +152,7 @@
     front.settings = front.settings._replace(bounds=bounds)
     case.assertEqual(200, (await site.call('i1', 'look', key='red-1')).status)
     site.store.mode = store_module.Mode.UNRESPONSIVE
-    await asyncio.sleep(messages.Bounds(1, 1, 1, 1).revocation + 0.5)
+    await asyncio.sleep(messages.Bounds(1, 1, 1, 1).revocation_timeout + 0.5)
     case.assertEqual(503, (await site.call('i1', 'look', key='red-1')).status)
     case.assertEqual(200, (await site.call('i2', 'look', key='red-1')).status)
 
--- a/tests/gateway/test_scouting.py
+++ b/tests/gateway/test_scouting.py
@@ -1,12 +1,10 @@
 """Tests of sending work where the homes of targets count the least."""
 
-import asyncio
-
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import peer_messages
 from vanillayoke.standins import targets
 from vanillayoke.testing import fixtures
-
+import asyncio
 
 def _turn(site, number, instances):
     name = f'i{1 + number % instances}'
@@ -39,7 +37,7 @@
     for name in ('i2', 'i3', 'i4'):
         site_fixtures.kill(site, network, name)
     began = site.timers.now()
-    counts = await site.instances['i1']._load_queries.count(_list_places(site))
+    counts = await site.instances['i1']._load_queries.query(_list_places(site))
     case.assertLess(site.timers.now() - began, 0.02)
     case.assertLessEqual(len(counts), 4)
 
@@ -76,7 +74,9 @@
     await asyncio.sleep(2.0)
     for front in site.instances.values():
         for name in ('t1', 't2'):
-            answer = front._load_queries.answer(peer_messages.Count(name))
+            answer = front._load_queries.handle_request(
+                peer_messages.LoadQuery(name)
+            )
             case.assertLess(answer.requests, 0.01)
 
 
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -5,16 +5,14 @@
 quarters of another shows soonest what is lost on the way.
 """
 
-import asyncio
-
-import msgspec
-
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers
 from vanillayoke.gateway import store as store_client
 from vanillayoke.testing import fixtures
+import asyncio
+import msgspec
 
 BUDGET = 175
 MOST = 100
@@ -405,7 +403,7 @@
     )
     homes.handle_request(peer_messages.Settle('new', 'a', 0))
     case.assertEqual(
-        peer_messages.Unable(False), homes.handle_request(question)
+        peer_messages.Unavailable(False), homes.handle_request(question)
     )
     case.assertEqual(MOST, site.instances['i1']._ledger.withdraw('new'))
 
--- a/tests/gateway/test_turns.py
+++ b/tests/gateway/test_turns.py
@@ -1,9 +1,5 @@
 """Tests of turns: their stream, history and budget, with what may fail."""
 
-import asyncio
-
-import msgspec
-
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers
@@ -12,7 +8,8 @@
 from vanillayoke.standins import store as store_module
 from vanillayoke.standins import targets
 from vanillayoke.testing import fixtures
-
+import asyncio
+import msgspec
 
 def _make_text(request, events=4):
     return b''.join(b'%s:%d\n' % (request, n) for n in range(1, events + 1))
@@ -159,7 +156,7 @@
     What it had been granted stays spent: the program gets less, never more.
     """
     await site.start(3)
-    homes = site.instances['i1']._members.list_homes()
+    homes = site.instances['i1']._members.list_eligible()
     home = rendezvous.find_coordinator('p1', homes).instance
     other = next(name for name in ('i1', 'i2', 'i3') if name != home)
     for number in range(3):
@@ -280,7 +277,7 @@
     await site.start(1)
     front = site.instances['i1']
     transfer = peer_messages.Transfer('p1', 100)
-    data = peers.QUESTION + msgspec.msgpack.encode([7, transfer])
+    data = peers.REQUEST + msgspec.msgpack.encode([7, transfer])
     front._peers.receive(data, '10.1.0.9:7380')
     front._peers.receive(data, '10.1.0.9:7380')
     case.assertEqual(100, front._ledger.withdraw('p1'))
