--- a/libs/bench/vanillayoke/bench/tables.py
+++ b/libs/bench/vanillayoke/bench/tables.py
@@ -5,18 +5,20 @@
 status is 0 only if every bound held.
 """
 
+import json
+import random
+import sys
+import time
+import typing
+
+import msgspec
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import catalog
 from vanillayoke.gateway import members
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import rendezvous
 from vanillayoke.testing import loops
-import json
-import msgspec
-import random
-import sys
-import time
-import typing
 
 # Tokens come every 28 ms at the size that this is designed for. A reading
 # that holds the event loop for longer delays all streams of an instance; the
--- a/libs/gateway/vanillayoke/gateway/access.py
+++ b/libs/gateway/vanillayoke/gateway/access.py
@@ -1,9 +1,11 @@
 """Who may send a request: the key of each is looked up anew."""
 
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import refusals
-import typing
+
 
 class Access:
     """Finds the organisation that a request belongs to."""
--- a/libs/gateway/vanillayoke/gateway/calls.py
+++ b/libs/gateway/vanillayoke/gateway/calls.py
@@ -1,5 +1,7 @@
 """One caller's request from its arrival to its end."""
 
+import asyncio
+
 from vanillayoke.core import events as log_events
 from vanillayoke.core import failures
 from vanillayoke.gateway import catalog as catalog_module
@@ -12,7 +14,6 @@
 from vanillayoke.gateway import unary
 from vanillayoke.scheduling import quotas
 from vanillayoke.transport import server
-import asyncio
 
 # What is left of the route's or the caller's time when the system's own
 # answer goes out: enough for it to arrive in time.
--- a/libs/gateway/vanillayoke/gateway/forwarding.py
+++ b/libs/gateway/vanillayoke/gateway/forwarding.py
@@ -1,13 +1,14 @@
 """One request at one target: sending it and reading the answer."""
 
+import asyncio
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import dialect as dialect_module
 from vanillayoke.gateway import load_queries
 from vanillayoke.gateway import messages
 from vanillayoke.scheduling import occupancy
 from vanillayoke.transport import client
-import asyncio
-import typing
 
 # The status of a server that is not the one that was expected.
 _MISDIRECTED = 421
--- a/libs/gateway/vanillayoke/gateway/health_gossip.py
+++ b/libs/gateway/vanillayoke/gateway/health_gossip.py
@@ -1,11 +1,12 @@
 """Spreading what is found out about sick targets among the instances."""
 
+import random
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import instrumentation as instrumentation_module
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import shared_health as shared_health_module
-import random
 
 # How many others an instance tells of a verdict that is new to it: with four,
 # 98 in 100 hear of it within a few hops, and the rest by its repetition.
--- a/libs/gateway/vanillayoke/gateway/histories.py
+++ b/libs/gateway/vanillayoke/gateway/histories.py
@@ -1,13 +1,14 @@
 """Turns kept in the store, and their text for the turns that follow."""
 
+import collections
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import partitions
 from vanillayoke.gateway import retries
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import transcripts
-import collections
-import typing
 
 TABLE = 'turns'
 # Texts of the latest turns stay in memory up to this many bytes: the next
--- a/libs/gateway/vanillayoke/gateway/instance.py
+++ b/libs/gateway/vanillayoke/gateway/instance.py
@@ -1,5 +1,10 @@
 """One instance: its parts, its start, its planned stop."""
 
+import asyncio
+import functools
+import random
+import typing
+
 from vanillayoke.core import events as log_events
 from vanillayoke.core import logs
 from vanillayoke.core import timers
@@ -34,10 +39,6 @@
 from vanillayoke.transport import client
 from vanillayoke.transport import datagrams
 from vanillayoke.transport import server
-import asyncio
-import functools
-import random
-import typing
 
 # Targets are a millisecond away; one that does not accept a connection for
 # this long is not there, or has a full queue. Seconds.
@@ -474,7 +475,9 @@
             self._instrumentation.record_store_recovered()
             self._reservations.record_credit()
         else:
-            self._instrumentation.record_store_lost(self._store.average_latency)
+            self._instrumentation.record_store_lost(
+                self._store.average_latency
+            )
 
 
 def get_relay_address(address: str) -> str:
--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -1,15 +1,17 @@
 """Accounts of the limits that this instance coordinates."""
 
+import asyncio
+import typing
+
+import msgspec
+import xxhash
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import partitions
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import store as store_module
 from vanillayoke.scheduling import quotas
-import asyncio
-import msgspec
-import typing
-import xxhash
 
 TABLE = 'limits'
 ACCOUNT_IDLE_SECONDS = 60.0
--- a/libs/gateway/vanillayoke/gateway/limits.py
+++ b/libs/gateway/vanillayoke/gateway/limits.py
@@ -6,6 +6,10 @@
 coordinator afterwards; otherwise it asks first.
 """
 
+import asyncio
+import collections
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import messages
@@ -14,9 +18,6 @@
 from vanillayoke.gateway import refusals
 from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import quotas
-import asyncio
-import collections
-import typing
 
 # Distinguishes the keys of limits from those of programs.
 KEY_PREFIX = 'limit/'
--- a/libs/gateway/vanillayoke/gateway/load_queries.py
+++ b/libs/gateway/vanillayoke/gateway/load_queries.py
@@ -4,6 +4,9 @@
 requests stay in their zone, and so do the datagrams about them.
 """
 
+import asyncio
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
@@ -11,8 +14,6 @@
 from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import load_counts
 from vanillayoke.scheduling import occupancy
-import asyncio
-import typing
 
 # How long to wait for the homes' answers. A round trip between zones takes
 # two milliseconds; what does not come by then is taken from this instance's
@@ -68,7 +69,9 @@
             (PATIENCE,),
         )
         if isinstance(answer, peer_messages.LoadResponse):
-            found[target] = load_counts.Load(answer.requests, answer.latency_ratio)
+            found[target] = load_counts.Load(
+                answer.requests, answer.latency_ratio
+            )
 
     def record_start(
         self, target: messages.Target, request: str, longest: float
--- a/libs/gateway/vanillayoke/gateway/members.py
+++ b/libs/gateway/vanillayoke/gateway/members.py
@@ -1,5 +1,10 @@
 """Who lives among the instances: probing by datagrams, listed in the store."""
 
+import random
+import typing
+
+import msgspec
+
 from vanillayoke.cluster import membership
 from vanillayoke.cluster import membership_events
 from vanillayoke.cluster import membership_table
@@ -8,9 +13,6 @@
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import rendezvous
 from vanillayoke.settings import process
-import msgspec
-import random
-import typing
 
 TABLE = 'instances'
 # An instance that has failed is found within about two seconds: it is probed
--- a/libs/gateway/vanillayoke/gateway/peer_messages.py
+++ b/libs/gateway/vanillayoke/gateway/peer_messages.py
@@ -1,8 +1,10 @@
 """What instances ask and tell one another, by datagrams."""
 
+import msgspec
+
 from vanillayoke.scheduling import program_slack
 from vanillayoke.scheduling import quotas
-import msgspec
+
 
 class Reserve(msgspec.Struct, frozen=True, array_like=True, tag='R'):
     """Reserve the most that a turn may generate from its program's budget.
--- a/libs/gateway/vanillayoke/gateway/peers.py
+++ b/libs/gateway/vanillayoke/gateway/peers.py
@@ -4,14 +4,16 @@
 again by whoever asked.
 """
 
-from vanillayoke.core import timers
-from vanillayoke.gateway import peer_messages
-from vanillayoke.scheduling import shared_health
 import asyncio
 import collections
-import msgspec
 import typing
 
+import msgspec
+
+from vanillayoke.core import timers
+from vanillayoke.gateway import peer_messages
+from vanillayoke.scheduling import shared_health
+
 # Kinds of datagrams, the first byte of each.
 MEMBERSHIP = b'm'
 REQUEST = b'q'
--- a/libs/gateway/vanillayoke/gateway/store.py
+++ b/libs/gateway/vanillayoke/gateway/store.py
@@ -1,5 +1,8 @@
 """Calls to the platform's store, and what their failures leave open."""
 
+import asyncio
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import availability as availability_module
 from vanillayoke.gateway import dialect as dialect_module
@@ -7,8 +10,6 @@
 from vanillayoke.gateway import partitions
 from vanillayoke.gateway import relays as relays_module
 from vanillayoke.transport import client
-import asyncio
-import typing
 
 # Answers that say that nothing was done.
 _TOO_MANY = 429
--- a/libs/gateway/vanillayoke/gateway/store_waiting.py
+++ b/libs/gateway/vanillayoke/gateway/store_waiting.py
@@ -1,10 +1,11 @@
 """Turns that wait for the store: until when, and what they are told then."""
 
+import typing
+
 from vanillayoke.gateway import context as context_module
 from vanillayoke.gateway import dispatch
 from vanillayoke.gateway import refusals
 from vanillayoke.scheduling import outages
-import typing
 
 # How often a turn that waits asks whether its time is over. Seconds.
 PAUSE = 0.1
--- a/libs/gateway/vanillayoke/gateway/turns.py
+++ b/libs/gateway/vanillayoke/gateway/turns.py
@@ -1,5 +1,7 @@
 """Turns of programs: streams within a budget, with history where kept."""
 
+import msgspec
+
 from vanillayoke.gateway import context as context_module
 from vanillayoke.gateway import dispatch
 from vanillayoke.gateway import forwarding
@@ -15,7 +17,6 @@
 from vanillayoke.transport import client
 from vanillayoke.transport import headers as headers_module
 from vanillayoke.transport import server
-import msgspec
 
 _DROPPED = frozenset((b'content-length',))
 _FIRST_FAILURE = 300
--- a/libs/gateway/vanillayoke/gateway/unary.py
+++ b/libs/gateway/vanillayoke/gateway/unary.py
@@ -1,5 +1,8 @@
 """Requests with one response: read whole, then passed on."""
 
+import asyncio
+import typing
+
 from vanillayoke.gateway import context as context_module
 from vanillayoke.gateway import dispatch
 from vanillayoke.gateway import forwarding
@@ -9,8 +12,6 @@
 from vanillayoke.transport import client
 from vanillayoke.transport import headers as headers_module
 from vanillayoke.transport import server
-import asyncio
-import typing
 
 # Written anew for the caller.
 _DROPPED = frozenset((b'content-length',))
--- a/libs/gateway/vanillayoke/gateway/version_gossip.py
+++ b/libs/gateway/vanillayoke/gateway/version_gossip.py
@@ -5,14 +5,15 @@
 the one that told it.
 """
 
+import random
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import rendezvous
 from vanillayoke.gateway import store as store_module
-import random
-import typing
 
 # How many others are told of a version that is new here; they tell as many.
 FANOUT = 4
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -5,14 +5,16 @@
 it lies, and the budget not be split among them.
 """
 
+import asyncio
+
+import msgspec
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.testing import fixtures
-import asyncio
-import msgspec
 
 BUDGET = 175
 MOST = 100
--- a/tests/gateway/test_scouting.py
+++ b/tests/gateway/test_scouting.py
@@ -1,10 +1,12 @@
 """Tests of sending work where the homes of targets count the least."""
 
+import asyncio
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import peer_messages
 from vanillayoke.standins import targets
 from vanillayoke.testing import fixtures
-import asyncio
+
 
 def _turn(site, number, instances):
     name = f'i{1 + number % instances}'
--- a/tests/gateway/test_turns.py
+++ b/tests/gateway/test_turns.py
@@ -1,5 +1,9 @@
 """Tests of turns: their stream, history and budget, with what may fail."""
 
+import asyncio
+
+import msgspec
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers
@@ -8,8 +12,7 @@
 from vanillayoke.standins import store as store_module
 from vanillayoke.standins import targets
 from vanillayoke.testing import fixtures
-import asyncio
-import msgspec
+
 
 def _make_text(request, events=4):
     return b''.join(b'%s:%d\n' % (request, n) for n in range(1, events + 1))
