--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -1,4 +1,4 @@
-"""The accounts of the limits that have their home at this instance."""
+"""Accounts of the limits that this instance coordinates."""
 
 import asyncio
 import typing
@@ -8,53 +8,53 @@
 
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import parts
+from vanillayoke.gateway import partitions
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import store as store_module
 from vanillayoke.scheduling import quotas
 
 TABLE = 'limits'
-# Accounts that nobody has used for so long are forgotten. Seconds.
-IDLE_ACCOUNT = 60.0
-# How long a new home waits for the row of the one before. Seconds.
-READ_PATIENCE = 0.3
-# Within this time all instances have told a new home what they have admitted:
-# they look for a change of homes several times a second. Seconds.
-SETTLING = 1.0
-WRITE_PATIENCE = 1.0
+ACCOUNT_IDLE_SECONDS = 60.0
+READ_TIMEOUT_SECONDS = 0.3
+# The time in which all instances have reported to a new coordinator.
+SETTLING_SECONDS = 1.0
+WRITE_TIMEOUT_SECONDS = 1.0
 
 
-class Saved(msgspec.Struct, frozen=True, array_like=True):
-    """An account in the store: the wall time, ages in seconds and counts."""
+class SavedAccount(msgspec.Struct, frozen=True, array_like=True):
+    """An account in the store.
+
+    ``time`` is the wall time of the write in seconds; ``counts`` holds the
+    ages in seconds at that time and the numbers of requests.
+    """
 
     time: float
     counts: tuple[tuple[float, int], ...]
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_DECODER = msgspec.msgpack.Decoder(Saved)
+_DECODER = msgspec.msgpack.Decoder(SavedAccount)
 
 
 class _Entry:
-    """An account and what the store knows of it."""
+    """An account and its state in the store."""
 
     def __init__(self, account: quotas.Account) -> None:
         self.account = account
         self.opening: asyncio.Task | None = None
-        # Whether it is known what a former home has written down, and by when
-        # all instances have told the rest.
+        # Whether the row of the former coordinator was read.
         self.is_known = False
+        # When all instances have reported to this coordinator.
         self.settled_at = float('inf')
         self.unsaved = 0
         self.is_saving = False
 
 
 class LimitAccounts:
-    """Keeps accounts for all instances that ask.
+    """Counts and admits requests on behalf of all instances.
 
-    ``find_lost_share`` returns the share of instances that were lost within a
-    window.
-    ``is_leaving`` says that another instance is to be the home.
+    ``find_lost_share`` returns the share of instances lost within a window.
+    ``is_leaving`` returns whether another instance is to be the coordinator.
     """
 
     def __init__(
@@ -72,45 +72,45 @@
         self._spawn = spawn
         self._find_lost_share = find_lost_share
         self._is_leaving = is_leaving
-        self._needs = quotas.Needs()
+        self._needs = quotas.ProgramStatistics()
         self._entries: dict[str, _Entry] = {}
 
-    def answer(
-        self, question: peer_messages.Usage
+    def handle_request(
+        self, question: peer_messages.UsageReport
     ) -> (
-        peer_messages.Standing
-        | peer_messages.Unable
-        | typing.Coroutine[typing.Any, typing.Any, peer_messages.Standing]
+        peer_messages.LimitStatus
+        | peer_messages.Unavailable
+        | typing.Coroutine[typing.Any, typing.Any, peer_messages.LimitStatus]
     ):
-        """Take what an instance has used; admit what it asks for.
+        """Record the reported usage and decide on the request, if any.
 
-        An instance that stops sends all to the next home at once: two that
-        admit side by side would admit too much.
+        An instance that is leaving refers all others to the next coordinator
+        at once: two instances that admit concurrently would admit too much.
         """
         if self._is_leaving():
-            return peer_messages.Unable(False)
+            return peer_messages.Unavailable(False)
         name = question.organisation
         entry = self._entries.get(name)
         if entry is None:
             entry = _Entry(quotas.Account(self._window, self._needs))
             self._entries[name] = entry
             self._begin(name, entry)
-        elif question.is_moved and self._is_settled(entry):
-            # Another instance has been the home meanwhile.
+        elif question.is_reassigned and self._is_settled(entry):
+            # Another instance has been the coordinator meanwhile.
             self._begin(name, entry)
         self._take(entry, question)
         if entry.opening is not None:
-            if question.asked is None:
-                return peer_messages.Standing(is_close=True)
+            if question.pending is None:
+                return peer_messages.LimitStatus(is_near_limit=True)
             return self._answer_opened(entry, question)
         return self._decide(entry, question)
 
     def prune(self) -> None:
-        """Forget accounts that nobody has used for a window."""
+        """Drop idle accounts."""
         now = self._timers.now()
         for name, entry in list(self._entries.items()):
             entry.account.window.prune(now)
-            if now - entry.account.seen > IDLE_ACCOUNT:
+            if now - entry.account.last_used_at > ACCOUNT_IDLE_SECONDS:
                 del self._entries[name]
 
     def _begin(self, name: str, entry: _Entry) -> None:
@@ -120,65 +120,67 @@
         )
 
     def _is_settled(self, entry: _Entry) -> bool:
-        is_over = self._timers.now() > entry.settled_at + SETTLING
+        is_over = self._timers.now() > entry.settled_at + SETTLING_SECONDS
         return entry.opening is None and is_over
 
-    def _take(self, entry: _Entry, question: peer_messages.Usage) -> None:
+    def _take(
+        self, entry: _Entry, question: peer_messages.UsageReport
+    ) -> None:
         now = self._timers.now()
         account = entry.account
         account.set_limit(question.limit, question.version)
-        if question.is_whole:
-            account.window.forget(question.reporter)
-        for used in question.used:
-            at = now - used.age / 1000
+        if question.is_full:
+            account.window.remove_reporter(question.reporter)
+        for used in question.records:
+            at = now - used.age_ms / 1000
             account.window.add(question.reporter, at, used.count)
-            asked = quotas.Asked(used.program, used.route)
-            account.note(asked, used.count, now)
+            asked = quotas.AdmissionRequest(used.program, used.route)
+            account.record(asked, used.count, now)
             entry.unsaved += used.count
-        account.seen = now
+        account.last_used_at = now
 
     async def _answer_opened(
-        self, entry: _Entry, question: peer_messages.Usage
-    ) -> peer_messages.Standing:
+        self, entry: _Entry, question: peer_messages.UsageReport
+    ) -> peer_messages.LimitStatus:
         if entry.opening is not None:
             await asyncio.wait((entry.opening,))
         return self._decide(entry, question)
 
     def _decide(
-        self, entry: _Entry, question: peer_messages.Usage
-    ) -> peer_messages.Standing:
+        self, entry: _Entry, question: peer_messages.UsageReport
+    ) -> peer_messages.LimitStatus:
         now = self._timers.now()
         account = entry.account
         if now >= entry.settled_at:
             lost = self._find_lost_share()
-            reserve = quotas.find_reserve(account.limit, lost, entry.is_known)
+            reserve = quotas.get_reserve(account.limit, lost, entry.is_known)
         else:
-            reserve = quotas.find_first_reserve(account.limit, entry.is_known)
+            reserve = quotas.get_initial_reserve(account.limit, entry.is_known)
         account.reserve = reserve
-        standing = peer_messages.Standing(False)
-        if question.asked is not None:
-            asked = quotas.Asked(*question.asked)
-            match account.ask(question.reporter, asked, now):
+        standing = peer_messages.LimitStatus(False)
+        if question.pending is not None:
+            asked = quotas.AdmissionRequest(*question.pending)
+            match account.request_admission(question.reporter, asked, now):
                 case quotas.Refused() as found:
-                    standing = peer_messages.Standing(
+                    standing = peer_messages.LimitStatus(
                         False,
                         _describe(found, account),
-                        found.pause,
+                        found.retry_after,
                         found.is_new,
                     )
                 case quotas.Admitted():
                     entry.unsaved += 1
         self._save_soon(question.organisation, entry)
         return msgspec.structs.replace(
-            standing, is_close=account.is_close(now)
+            standing, is_near_limit=account.is_near_limit(now)
         )
 
     # The store
 
     async def _open(self, name: str, entry: _Entry) -> None:
-        """Take over what a home before this one has written down."""
+        """Load the counts that a former coordinator has saved."""
         try:
-            async with asyncio.timeout(READ_PATIENCE):
+            async with asyncio.timeout(READ_TIMEOUT_SECONDS):
                 saved = await self._read(name)
                 entry.is_known = True
         except (TimeoutError, store_module.StoreError):
@@ -186,28 +188,32 @@
         now = self._timers.now()
         if saved is not None:
             age = max(0.0, self._timers.wall() - saved.time)
-            entry.account.window.inherit(
+            entry.account.window.restore(
                 (now - age - one, count) for one, count in saved.counts
             )
         entry.opening = None
-        entry.settled_at = now + SETTLING
+        entry.settled_at = now + SETTLING_SECONDS
 
-    async def _read(self, name: str) -> Saved | None:
+    async def _read(self, name: str) -> SavedAccount | None:
         where = _locate(name)
         page = await self._store.read(
-            TABLE, where.part, READ_PATIENCE, where.key, where.key + '\0'
+            TABLE,
+            where.partition,
+            READ_TIMEOUT_SECONDS,
+            where.key,
+            where.key + '\0',
         )
         for row in page.rows:
             try:
                 return _DECODER.decode(row.value)
             except msgspec.DecodeError:
-                # Another version's row counts as none.
+                # Written by another software version; ignored.
                 return None
         return None
 
     def _save_soon(self, name: str, entry: _Entry) -> None:
         account = entry.account
-        most = quotas.SAVED_SHARE * account.limit.tolerance
+        most = quotas.SAVE_RATIO * account.limit.tolerance
         if entry.is_saving or entry.unsaved <= most:
             return
         entry.is_saving = True
@@ -216,7 +222,7 @@
     async def _save(self, name: str, entry: _Entry) -> None:
         now = self._timers.now()
         count = entry.unsaved
-        saved = Saved(
+        saved = SavedAccount(
             self._timers.wall(),
             tuple(
                 (now - at, count)
@@ -227,10 +233,10 @@
             (), ((_locate(name), _ENCODER.encode(saved)),)
         )
         try:
-            await self._store.transact(transaction, WRITE_PATIENCE)
+            await self._store.transact(transaction, WRITE_TIMEOUT_SECONDS)
             entry.unsaved -= count
         except store_module.StoreError:
-            # Written again with the next request.
+            # Retried with the next request.
             return
         finally:
             entry.is_saving = False
@@ -238,7 +244,7 @@
 
 def _locate(organisation: str) -> messages.RowKey:
     key = f'{xxhash.xxh3_128_intdigest(organisation.encode()):032x}'
-    return messages.RowKey(TABLE, parts.find_part(key), key)
+    return messages.RowKey(TABLE, partitions.find_partition(key), key)
 
 
 def _describe(found: quotas.Refused, account: quotas.Account) -> str:
@@ -251,7 +257,7 @@
 
 
 def read_time(value: bytes) -> float | None:
-    """Return when a row was written; ``None`` if it can't be read."""
+    """Return when a row was written; ``None`` if it can't be decoded."""
     try:
         return _DECODER.decode(value).time
     except msgspec.DecodeError:
--- a/libs/gateway/vanillayoke/gateway/limits.py
+++ b/libs/gateway/vanillayoke/gateway/limits.py
@@ -1,8 +1,9 @@
-"""Admitting requests within the limit of their organisation.
+"""Admission of requests within the limit of their organisation.
 
-Each organisation's limit has a home, the instance with the highest rendezvous
-score, which counts what all instances admit. An instance that knows the limit
-to be far admits at once and tells the home afterwards; else it asks first.
+Each organisation's limit has a coordinator, the instance with the highest
+rendezvous score, which counts what all instances admit. An instance that
+knows usage to be well below the limit admits at once and reports to the
+coordinator afterwards; otherwise it asks first.
 """
 
 import asyncio
@@ -10,52 +11,54 @@
 import typing
 
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import refusals
+from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import quotas
 
-# Distinguishes the homes of limits from those of programs.
-PREFIX = 'limit/'
-# How long what was admitted waits to be told. Seconds.
+# Distinguishes the keys of limits from those of programs.
+KEY_PREFIX = 'limit/'
+# How long admitted requests are batched before they are reported.
 TELL_DELAY = 0.25
-# It is told at once where all instances together may have admitted too much
-# meanwhile, if each has admitted as much: this share of what may be lost
-# uncounted. Likewise an instance that knows nothing asks first, unless all may
-# admit one each within this share.
-UNTOLD_SHARE = 1.0 - quotas.SAVED_SHARE
-# For how long it is known that the limit is far. Seconds.
+# The share of the tolerance that all instances together may admit without
+# reporting, assuming that each admits as many requests as this one.
+UNTOLD_SHARE = 1.0 - quotas.SAVE_RATIO
+# How long a response of the coordinator is valid.
 STANDING_LIFETIME = 1.0
-# How many homes are asked, the next one where one is silent, and for how long
-# a silent one is passed over. Seconds.
 MOST_ASKED = 3
+# How long an instance that did not respond is skipped.
 SILENCE = 1.0
-# How many of the best homes are known for each organisation.
+# Highest-ranked instances cached for each organisation.
 MOST_RANKED = 8
+# Retry delay of requests refused because no coordinator can be reached.
 ALONE_PAUSE = 0.25
-# For how long an instance that misses most others leaves limits to these. Cuts
-# are shorter. Seconds.
+# How long an instance cut off from most others assumes that these still have
+# a coordinator.
 LONGEST_APART = 15.0
 
 
 class Admission(typing.NamedTuple):
-    """A request that counts as used, and since when."""
+    """A request counted as used, and the time since it counts."""
 
     organisation: str
-    asked: quotas.Asked
+    request: quotas.AdmissionRequest
     at: float
 
 
 class _Entry:
-    """Requests admitted at a moment; ``is_told`` once the home knows."""
+    """Requests admitted at one time, and whether they were reported."""
 
     __slots__ = ('at', 'asked', 'count', 'is_told')
 
     def __init__(
-        self, at: float, asked: quotas.Asked, count: int, is_told: bool
+        self,
+        at: float,
+        asked: quotas.AdmissionRequest,
+        count: int,
+        is_told: bool,
     ) -> None:
         self.at = at
         self.asked = asked
@@ -64,7 +67,7 @@
 
 
 class _Usage:
-    """What this instance has admitted of one organisation's requests."""
+    """Requests of one organisation that this instance has admitted."""
 
     def __init__(self) -> None:
         self.entries: collections.deque[_Entry] = collections.deque()
@@ -73,7 +76,7 @@
         self.is_close = False
         self.is_cut_off = False
         self.is_telling = False
-        # When the home last said how the organisation stands.
+        # When the coordinator last responded.
         self.answered_at = float('-inf')
         self.limit = quotas.Limit(0.0, 0.0, 0.0, 0.0)
         self.version = 0
@@ -81,7 +84,7 @@
     def add(
         self,
         at: float,
-        asked: quotas.Asked,
+        asked: quotas.AdmissionRequest,
         count: int,
         is_told: bool = False,
     ) -> None:
@@ -103,7 +106,10 @@
         return found
 
     def take_untold(self, is_whole: bool) -> list[_Entry]:
-        """Return what to tell the home; it counts as told from now on."""
+        """Return the entries to report and mark them as reported.
+
+        ``is_whole`` includes those reported before.
+        """
         found = []
         for entry in self.entries:
             if is_whole or not entry.is_told:
@@ -113,14 +119,14 @@
 
 
 class Limits:
-    """Admits this instance's requests."""
+    """Admits the requests that arrive at this instance."""
 
     def __init__(
         self,
         instance: str,
         incarnation: int,
         tolerance: quotas.Tolerance,
-        roster: homes_ranking.Roster,
+        membership: rendezvous.MembershipView,
         accounts: limit_accounts.LimitAccounts,
         timer_service: timers.TimerService,
         spawn: typing.Callable[[typing.Coroutine], None],
@@ -129,12 +135,12 @@
         draw: typing.Callable[[], float],
     ) -> None:
         self._instance = instance
-        # A process that starts again under the same name knows nothing of
-        # what the one before has admitted, and must not tell anew for it.
+        # Distinguishes this process from a former one of the same instance,
+        # whose reports it must not replace.
         self._reporter = f'{instance}/{incarnation}'
         self._tolerance = tolerance
         self._window = tolerance.window
-        self._roster = roster
+        self._membership = membership
         self._accounts = accounts
         self._timers = timer_service
         self._spawn = spawn
@@ -145,44 +151,46 @@
         self._peers: peers_module.Peers | None = None
         self._usages: dict[str, _Usage] = {}
         self._silent: dict[str, float] = {}
-        self._members: typing.Sequence[homes_ranking.HomeMember] = ()
+        self._members: typing.Sequence[rendezvous.Peer] = ()
         self._homes: dict[str, list[str]] = {}
 
-    def use(self, peers: peers_module.Peers) -> None:
-        """Ask other instances through this from now on."""
+    def set_peers(self, peers: peers_module.Peers) -> None:
+        """Set the connection to other instances."""
         self._peers = peers
 
     async def admit(
         self,
         organisation: messages.Organisation | None,
-        asked: quotas.Asked,
-        until: float,
+        asked: quotas.AdmissionRequest,
+        deadline: float,
     ) -> Admission | None:
-        """Count a request as used; ``None`` where there is no limit.
+        """Count a request as used; return ``None`` if there is no limit.
 
-        A request of a program that has begun waits for room until then. Raise
-        a refusal if the limit has none.
+        A request of a program that has begun waits for room until the
+        deadline. Raise ``RefusalError`` if the limit has no room.
         """
         if organisation is None or not organisation.rate:
             return None
         usage = self._open(organisation)
         now = self._timers.now()
         if self._must_ask(usage, now):
-            await self._wait_for_room(organisation.name, usage, asked, until)
+            await self._wait_for_room(
+                organisation.name, usage, asked, deadline
+            )
         else:
             usage.add(now, asked, 1)
             self._tell_in_time(organisation.name, usage)
         return Admission(organisation.name, asked, self._timers.now())
 
-    def add(self, admission: Admission, count: int) -> None:
-        """Count so many more runs of a request, or -1 if it did not run."""
+    def adjust(self, admission: Admission, count: int) -> None:
+        """Count further runs of a request; -1 if it did not run."""
         usage = self._usages.get(admission.organisation)
         if usage is not None:
-            usage.add(admission.at, admission.asked, count)
+            usage.add(admission.at, admission.request, count)
             self._tell_soon(admission.organisation, usage)
 
     def prune(self) -> None:
-        """Forget what has left the window, and tell new homes of the rest."""
+        """Drop what has left the window; report to new coordinators."""
         now = self._timers.now()
         for name, usage in list(self._usages.items()):
             usage.prune(now - self._window)
@@ -213,38 +221,39 @@
         self,
         organisation: str,
         usage: _Usage,
-        asked: quotas.Asked,
-        until: float,
+        asked: quotas.AdmissionRequest,
+        deadline: float,
     ) -> None:
-        """Ask until the request is admitted, or could not be in time.
+        """Ask until the request is admitted or can't be before the deadline.
 
-        A program that has begun would be lost with one of its requests, and
-        its callers have few tries.
+        A program that has begun would fail with one of its requests.
         """
         while True:
             answer = await self._send(organisation, usage, asked)
             if answer is None:
                 self._admit_alone(usage, asked)
                 return
-            if answer.refused is None:
-                # The home has counted it with its answer.
+            if answer.refusal_reason is None:
+                # The coordinator has counted the request already.
                 usage.add(self._timers.now(), asked, 1, is_told=True)
                 self._usages[organisation] = usage
                 return
             now = self._timers.now()
-            if answer.is_new or now + answer.pause > until:
+            if answer.is_new_program or now + answer.retry_after > deadline:
                 raise refusals.RefusalError(
                     refusals.Reason.OVER_LIMIT,
-                    f'{answer.refused}; counted by {usage.home}',
-                    answer.pause,
+                    f'{answer.refusal_reason}; counted by {usage.home}',
+                    answer.retry_after,
                 )
-            await self._timers.sleep(answer.pause)
+            await self._timers.sleep(answer.retry_after)
 
-    def _admit_alone(self, usage: _Usage, asked: quotas.Asked) -> None:
-        """Admit an even share of what may be lost uncounted.
+    def _admit_alone(
+        self, usage: _Usage, asked: quotas.AdmissionRequest
+    ) -> None:
+        """Admit this instance's even share of the tolerance.
 
-        No home can be asked, and the limit may be used up. Where the share is
-        less than one request, it is the chance of the first one.
+        No coordinator responds, and the limit may be used up. A share of less
+        than one request is the probability of admitting one.
         """
         count = max(1, len(self._list_members()))
         now = self._timers.now()
@@ -278,22 +287,29 @@
             await self._send(organisation, usage, None)
 
     async def _send(
-        self, organisation: str, usage: _Usage, asked: quotas.Asked | None
-    ) -> peer_messages.Standing | None:
-        """Tell the home what it does not know; return what it answers."""
+        self,
+        organisation: str,
+        usage: _Usage,
+        asked: quotas.AdmissionRequest | None,
+    ) -> peer_messages.LimitStatus | None:
+        """Report unreported requests to the coordinator; return its response.
+
+        Return ``None`` if no instance responds.
+        """
         for _ in range(MOST_ASKED):
             home = self._find_home(organisation)
             if home is None:
                 break
             question = self._make_question(organisation, usage, home, asked)
             answer = await self._put(home, question)
-            if isinstance(answer, peer_messages.Standing):
-                usage.is_close = answer.is_close
+            if isinstance(answer, peer_messages.LimitStatus):
+                usage.is_close = answer.is_near_limit
                 usage.is_cut_off = False
                 usage.answered_at = self._timers.now()
                 return answer
             self._silent[home] = self._timers.now()
-            # It may have counted or not: the next one is told all.
+            # It may have counted the requests or not: the next coordinator
+            # gets a complete report.
             usage.home = None
             usage.has_moved = True
         usage.is_cut_off = True
@@ -304,20 +320,20 @@
         organisation: str,
         usage: _Usage,
         home: str,
-        asked: quotas.Asked | None,
-    ) -> peer_messages.Usage:
+        asked: quotas.AdmissionRequest | None,
+    ) -> peer_messages.UsageReport:
         now = self._timers.now()
         usage.prune(now - self._window)
         is_whole = usage.home != home
         is_moved = is_whole and (usage.home is not None or usage.has_moved)
         usage.home = home
-        return peer_messages.Usage(
+        return peer_messages.UsageReport(
             organisation,
             self._reporter,
             usage.limit,
             usage.version,
             tuple(
-                peer_messages.Used(
+                peer_messages.UsageRecord(
                     round((now - entry.at) * 1000),
                     entry.asked.program,
                     entry.asked.route,
@@ -331,38 +347,42 @@
         )
 
     async def _put(
-        self, home: str, question: peer_messages.Usage
-    ) -> peer_messages.Answer | None:
+        self, home: str, question: peer_messages.UsageReport
+    ) -> peer_messages.Response | None:
         if home == self._instance:
-            answer = self._accounts.answer(question)
+            answer = self._accounts.handle_request(question)
             if asyncio.iscoroutine(answer):
                 answer = await answer
             return answer
         address = self._find_address(home)
-        until = self._timers.now() + limit_accounts.READ_PATIENCE
-        return await self._peers.ask(address, question, until)
+        deadline = self._timers.now() + limit_accounts.READ_TIMEOUT_SECONDS
+        return await self._peers.send_request(address, question, deadline)
 
     def _find_address(self, home: str) -> str:
         return next(
             (one.address for one in self._members if one.instance == home), ''
         )
 
-    def _list_members(self) -> typing.Sequence[homes_ranking.HomeMember]:
-        """Return the instances that may be homes.
+    def _list_members(self) -> typing.Sequence[rendezvous.Peer]:
+        """Return the instances that may be coordinators.
 
-        Where all are told to stop, the best of them stays the home.
+        If all instances are leaving, the one with the highest score remains
+        the coordinator.
         """
-        members = self._roster.list_homes() or self._roster.list_reachable()
+        members = (
+            self._membership.list_eligible()
+            or self._membership.list_reachable()
+        )
         if members is not self._members:
             self._members = members
             self._homes.clear()
         return members
 
     def _is_apart(self) -> bool:
-        """Say whether the others may have a home that is out of reach.
+        """Return whether others may have a coordinator that is unreachable.
 
-        Only for a while: where most instances were lost for good, those that
-        are left have to count for themselves.
+        Limited in time: if most instances are lost permanently, the remaining
+        ones have to take over.
         """
         now = self._timers.now()
         if not self._is_alone():
@@ -373,10 +393,10 @@
         return now - self._apart_since < LONGEST_APART
 
     def _find_home(self, organisation: str) -> str | None:
-        """Return the best home but for those that were silent just now.
+        """Return the coordinator, skipping unresponsive instances.
 
-        An instance that reaches less than half of the others knows none: on
-        the other side of a cut there is a home for them.
+        Return ``None`` if this instance is cut off from most others: the
+        other side of the network partition has a coordinator of its own.
         """
         if self._is_apart():
             return None
@@ -386,8 +406,8 @@
         members = self._list_members()
         ranked = self._homes.get(organisation)
         if ranked is None:
-            best = homes_ranking.list_best(
-                PREFIX + organisation, members, MOST_RANKED
+            best = rendezvous.list_highest(
+                KEY_PREFIX + organisation, members, MOST_RANKED
             )
             ranked = self._homes[organisation] = [one.instance for one in best]
         for instance in ranked:
@@ -395,7 +415,7 @@
                 break
         else:
             return None
-        # An instance that reaches no better home is not the home for that:
-        # it may have been cut off from the others.
+        # This instance does not take over for unresponsive instances: it may
+        # be cut off from the others.
         is_stand_in = instance == self._instance and instance != ranked[0]
         return None if is_stand_in else instance
--- a/libs/gateway/vanillayoke/gateway/retries.py
+++ b/libs/gateway/vanillayoke/gateway/retries.py
@@ -1,49 +1,52 @@
-"""Trying calls to the store again, until when and after which pauses."""
+"""Retries of calls to the store."""
 
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import store as store_module
 
-# Pauses between tries of a write: the first outlasts a short refusal, the
-# longest keeps a returning store from a stampede. Seconds.
-FIRST_PAUSE = 0.02
-LONGEST_PAUSE = 0.4
-SHORTEST_TRY = 0.02
-# The shortest time that one try waits for its answer. Seconds.
-SHORTEST_PATIENCE = 0.25
+INITIAL_BACKOFF_SECONDS = 0.02
+MAX_BACKOFF_SECONDS = 0.4
+# The timeout of an attempt made shortly before the deadline.
+MIN_ATTEMPT_SECONDS = 0.02
+# The minimum of the timeout derived from the store's response times.
+MIN_TIMEOUT_SECONDS = 0.25
 
 
 async def commit(
     store: store_module.StoreClient,
     transaction: messages.Transaction,
-    until: float,
+    deadline: float,
     timer_service: timers.TimerService,
 ) -> messages.Committed | messages.Conflict:
-    """Apply a transaction whose repetition is harmless, until a time.
+    """Apply an idempotent transaction, with retries until the deadline.
 
-    A try without an answer may take effect later, yet only while its
-    conditions hold; the caller tells its own write in a ``Conflict`` by the
-    value found. Raise the last ``StoreError`` when the time is over or the
-    whole store is out of reach.
+    An attempt without a response may still take effect, but only while its
+    conditions hold; the caller recognises its own write in a ``Conflict`` by
+    the value of the row. Raise the last ``StoreError`` when the deadline
+    passes or the store is unreachable.
     """
-    pause = FIRST_PAUSE
+    pause = INITIAL_BACKOFF_SECONDS
     while True:
-        left = until - timer_service.now()
+        left = deadline - timer_service.now()
         try:
             return await store.transact(
-                transaction, max(SHORTEST_TRY, min(left, find_patience(store)))
+                transaction,
+                max(MIN_ATTEMPT_SECONDS, min(left, compute_timeout(store))),
             )
         except store_module.StoreError:
-            pause = min(LONGEST_PAUSE, pause * 2)
-            left = until - timer_service.now()
-            if left <= pause or store.is_closed:
+            pause = min(MAX_BACKOFF_SECONDS, pause * 2)
+            left = deadline - timer_service.now()
+            if left <= pause or store.is_unreachable:
                 raise
-            await store.wait_open(pause)
+            await store.wait_before_retry(pause)
 
 
-def find_patience(store: store_module.StoreClient) -> float:
-    """Return how long to wait for one answer of the store."""
+def compute_timeout(store: store_module.StoreClient) -> float:
+    """Return the timeout of one call to the store, in seconds."""
     return min(
-        store_module.LONGEST_PATIENCE,
-        max(SHORTEST_PATIENCE, store_module.PATIENCE_TIMES * store.usual_time),
+        store_module.MAX_TIMEOUT_SECONDS,
+        max(
+            MIN_TIMEOUT_SECONDS,
+            store_module.TIMEOUT_FACTOR * store.average_latency,
+        ),
     )
--- a/tests/adapter/test_wire.py
+++ b/tests/adapter/test_wire.py
@@ -1,11 +1,5 @@
 """Tests of encoding and decoding the platform's wire protocol."""
 
-import pathlib
-import platform
-import tempfile
-
-import msgspec
-
 from vanillayoke.adapter import configuration
 from vanillayoke.adapter import rows
 from vanillayoke.adapter import settings
@@ -15,6 +9,10 @@
 from vanillayoke.standins import calls
 from vanillayoke.testing import fixtures
 from vanillayoke.transport import server
+import msgspec
+import pathlib
+import platform
+import tempfile
 
 SETTINGS = {
     'node': 'i1',
@@ -89,7 +87,7 @@
     )
     case.assertEqual(('site.example', '/a/b'), (call.host, call.path))
     case.assertEqual(messages.Program('p1', 's1', 5.2, 2320), call.program)
-    case.assertEqual((1840, 290), (call.prompt_tokens, call.most_tokens))
+    case.assertEqual((1840, 290), (call.prompt_tokens, call.max_tokens))
     case.assertEqual((('5c', 800), ('91', 410)), call.prefix)
     case.assertEqual('r0', call.previous_turn)
 
--- a/tests/gateway/test_sweeping.py
+++ b/tests/gateway/test_sweeping.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.gateway import sites
+from tests.gateway import site_fixtures
 from vanillayoke.gateway import sweeping
 from vanillayoke.testing import fixtures
 
@@ -14,7 +14,7 @@
     for number in range(5):
         await site.turn('i1', f'a{number}', program=f'p{number}')
     case.assertEqual(5, len(site.store.list_table('turns')))
-    await asyncio.sleep(2 * sweeping.ROUND)
+    await asyncio.sleep(2 * sweeping.SWEEP_INTERVAL_SECONDS)
     case.assertEqual({}, site.store.list_table('turns'))
     case.assertEqual({}, site.store.list_table('budgets'))
 
@@ -28,4 +28,4 @@
     case.assertEqual(200, answer.status)
 
 
-load_tests = fixtures.adapt(__name__, [sites])
+load_tests = fixtures.adapt(__name__, [site_fixtures])
