--- a/tests/adapter/test_wire.py
+++ b/tests/adapter/test_wire.py
@@ -1,5 +1,11 @@
 """Tests of encoding and decoding the platform's wire protocol."""
 
+import pathlib
+import platform
+import tempfile
+
+import msgspec
+
 from vanillayoke.adapter import configuration
 from vanillayoke.adapter import rows
 from vanillayoke.adapter import settings
@@ -9,10 +15,6 @@
 from vanillayoke.standins import calls
 from vanillayoke.testing import fixtures
 from vanillayoke.transport import server
-import msgspec
-import pathlib
-import platform
-import tempfile
 
 SETTINGS = {
     'node': 'i1',
