--- a/libs/core/vanillayoke/core/__init__.py
+++ b/libs/core/vanillayoke/core/__init__.py
@@ -1,1 +1,1 @@
-"""Timers, error kinds, events, ids, metrics, logs and time line."""
+"""Timers, error kinds, events, ids, metrics, logs and timeline."""
--- a/libs/core/vanillayoke/core/events.py
+++ b/libs/core/vanillayoke/core/events.py
@@ -1,8 +1,7 @@
-"""The catalogue of numbered events that logs and time lines are made of.
+"""The catalogue of numbered events of logs and timelines.
 
-A number is never used again for another event. Fields hold identifiers,
-kinds, numbers and reasons; none holds messages, arguments, keys or other
-client text.
+A number is never reused for another event. Fields contain identifiers, kinds,
+numbers and reasons, but no messages, arguments, keys or other client text.
 """
 
 import enum
@@ -10,7 +9,7 @@
 
 
 class Level(enum.IntEnum):
-    """How much an event matters; logs leave out what is below their level."""
+    """The severity of an event; logs omit events below their level."""
 
     DEBUG = 10
     INFO = 20
@@ -19,9 +18,9 @@
 
 
 class Event(typing.NamedTuple):
-    """One kind of event; ``fields`` names exactly what is written with it.
+    """One kind of event; ``fields`` names all that is written with it.
 
-    ``text`` is for people and may name fields in braces.
+    ``text`` is for operators and may name fields in braces.
     """
 
     number: int
@@ -65,12 +64,12 @@
 
 
 def find_event(number: int) -> Event | None:
-    """Return the event of a number; ``None`` where there is none."""
+    """Return the event with a number, or ``None``."""
     return _BY_NUMBER.get(number)
 
 
 def list_events() -> list[Event]:
-    """Return the whole catalogue by number."""
+    """Return all events, sorted by number."""
     return [_BY_NUMBER[number] for number in sorted(_BY_NUMBER)]
 
 
@@ -98,14 +97,14 @@
     110,
     'drain_started',
     _INFO,
-    'The instance stops in an orderly way.',
+    'The instance started a graceful shutdown.',
     'reason',
 )
 DRAIN_STREAMS_ENDED = _define(
     111,
     'drain_streams_ended',
     _INFO,
-    'Streams ended; {left} were cut at the end of the grace.',
+    'Streams ended; {left} were cut at the end of the grace period.',
     'left',
 )
 DRAIN_SHARDS_RELEASED = _define(
@@ -359,7 +358,7 @@
     411,
     'call_committed',
     _DEBUG,
-    'All up to the answer is durable.',
+    'All records up to the answer are durable.',
     'program',
     'call',
 )
@@ -399,7 +398,7 @@
     503,
     'cache_released',
     _INFO,
-    "The program's cache of {tokens} tokens was let go.",
+    "The program's cache of {tokens} tokens was released.",
     'program',
     'target',
     'tokens',
@@ -417,7 +416,7 @@
     600,
     'configuration_seen',
     _INFO,
-    'Configuration {version} was heard of.',
+    'Configuration {version} was announced.',
     'version',
 )
 CONFIGURATION_IN_FORCE = _define(
@@ -456,7 +455,7 @@
     702,
     'member_failed',
     _WARNING,
-    '{member} is held for failed.',
+    '{member} is considered failed.',
     'member',
     'incarnation',
 )
@@ -480,7 +479,7 @@
     705,
     'suspicion_refuted',
     _INFO,
-    'This instance was suspected and says that it lives.',
+    'This instance was suspected and has refuted that.',
     'incarnation',
 )
 TARGET_LEAVING = _define(
@@ -494,7 +493,7 @@
     721,
     'target_failed',
     _WARNING,
-    'The target is held for failed: {reason}.',
+    'The target is considered failed: {reason}.',
     'target',
     'reason',
 )
@@ -502,7 +501,7 @@
     722,
     'target_recovered',
     _INFO,
-    'The target is back.',
+    'The target has recovered.',
     'target',
 )
 
@@ -560,7 +559,7 @@
     901,
     'stream_resumed',
     _INFO,
-    'The caller came back at offset {offset}.',
+    'The caller resumed at offset {offset}.',
     'program',
     'call',
     'offset',
@@ -641,7 +640,7 @@
     1004,
     'connection_refused',
     _WARNING,
-    'What came on a connection was answered with {status}.',
+    'The input on a connection was rejected with {status}.',
     'status',
 )
 HANDLER_FAILED = _define(
@@ -655,14 +654,14 @@
     1010,
     'store_lost',
     _WARNING,
-    'The store does not answer; calls usually took {usual_ms} ms.',
+    'The store does not respond; its typical call took {usual_ms} ms.',
     'usual_ms',
 )
 STORE_REGAINED = _define(
     1011,
     'store_regained',
     _INFO,
-    'The store answers again.',
+    'The store responds again.',
 )
 STORE_CALL_FAILED = _define(
     1012,
@@ -703,15 +702,14 @@
     1023,
     'server_expired',
     _INFO,
-    'Target {target} did not come back after the store did.',
+    'Target {target} did not register again after the store recovered.',
     'target',
 )
 SERVER_RESTARTED = _define(
     1027,
     'server_restarted',
     _INFO,
-    'Target {target} has started again, at {started}; nothing known of it '
-    'before holds.',
+    'Target {target} restarted at {started}; its earlier state is discarded.',
     'target',
     'started',
 )
@@ -750,7 +748,7 @@
     1024,
     'target_sick',
     _WARNING,
-    'Target {target} fails its requests (sickness {episode}), seen by '
+    'Target {target} is unhealthy (episode {episode}), reported by '
     '{reporters}.',
     'target',
     'episode',
@@ -760,7 +758,7 @@
     1026,
     'target_well',
     _INFO,
-    'Target {target} does its work again.',
+    'Target {target} is healthy again.',
     'target',
 )
 BUDGET_ON_CREDIT = _define(
@@ -768,7 +766,7 @@
     'budget_on_credit',
     _INFO,
     'Program {program} got {tokens} tokens for turn {request} on credit: the '
-    'store did not answer.',
+    'store did not respond.',
     'program',
     'request',
     'tokens',
@@ -796,8 +794,8 @@
     1029,
     'budget_taken_over',
     _INFO,
-    'Program {program} came with {granted} of {budget} tokens granted to '
-    'other instances.',
+    'Program {program} was taken over with {granted} of {budget} tokens '
+    'granted to other instances.',
     'program',
     'granted',
     'budget',
--- a/libs/core/vanillayoke/core/failures.py
+++ b/libs/core/vanillayoke/core/failures.py
@@ -1,7 +1,7 @@
-"""The closed list of error kinds and the answer each one gives.
+"""All error kinds and the response to a caller for each.
 
-Functions return a ``Failure`` as a sentinel value instead of raising: the
-caller sees in the signature that the step may fail and why.
+Functions return a ``Failure`` as a sentinel value instead of raising, so that
+their signatures show that they may fail.
 """
 
 import enum
@@ -9,7 +9,7 @@
 
 
 class Ran(enum.Enum):
-    """Whether the work behind a failed request was carried out."""
+    """Whether a failed request was executed."""
 
     NO = 'no'
     YES = 'yes'
@@ -17,7 +17,7 @@
 
 
 class Kind(enum.Enum):
-    """Every kind of error that the system gives to a caller."""
+    """The kinds of errors that callers may receive."""
 
     BAD_REQUEST = 'bad_request'
     BODY_TOO_LARGE = 'body_too_large'
@@ -49,10 +49,10 @@
 
 
 class Answer(typing.NamedTuple):
-    """What a caller is told of an error kind.
+    """The response to a caller for an error kind.
 
-    ``status`` is the HTTP status, ``ran`` whether the work was carried out,
-    ``may_retry`` whether sending the same request again can help.
+    ``status`` is the HTTP status, ``ran`` whether the request was executed,
+    ``may_retry`` whether sending the same request again may succeed.
     """
 
     status: int
@@ -145,8 +145,8 @@
 class Failure(typing.NamedTuple):
     """A sentinel value that stands for an error, with its reason.
 
-    ``reason`` is for people and holds no client text; ``retry_after`` is in
-    seconds, ``None`` where coming back does not help.
+    ``reason`` is for operators and contains no client text; ``retry_after`` is
+    in seconds, ``None`` if retrying does not help.
     """
 
     kind: Kind
@@ -155,10 +155,10 @@
 
     @property
     def answer(self) -> Answer:
-        """Return what the table says of this failure's kind."""
+        """Return the response for this failure's kind."""
         return ANSWERS[self.kind]
 
 
 def is_failure(value: object) -> typing.TypeGuard[Failure]:
-    """Tell whether a returned value is a failure."""
+    """Return whether a returned value is a failure."""
     return isinstance(value, Failure)
--- a/libs/core/vanillayoke/core/hybrid.py
+++ b/libs/core/vanillayoke/core/hybrid.py
@@ -1,7 +1,7 @@
-"""A hybrid logical clock: wall time that never runs against causality.
+"""A hybrid logical clock: wall time that respects causality.
 
-A time is one integer: wall milliseconds in the upper bits and a counter in
-the lower ones, so that times compare as integers.
+A time is one integer with wall milliseconds in the upper bits and a counter in
+the lower bits, so that times compare as integers.
 """
 
 from vanillayoke.core import timers
@@ -26,7 +26,7 @@
 
 
 class HybridClock:
-    """Gives strictly growing times, later than all that it was told of."""
+    """Returns strictly increasing times, later than all merged ones."""
 
     def __init__(
         self, timer_service: timers.TimerService, max_skew_ms=MAX_SKEW_MS
@@ -36,19 +36,18 @@
         self._last = 0
 
     def read(self) -> int:
-        """Return a new time for an event or a message sent."""
+        """Return a new time for an event or an outgoing message."""
         wall = int(self._timers.wall() * 1000) << COUNTER_BITS
         last = self._last + 1
         self._last = wall if wall > last else last
         return self._last
 
     def merge(self, remote: int) -> bool:
-        """Take a received time over; return whether it was plausible.
+        """Advance the clock past a received time; return whether it was valid.
 
-        One instance with a clock far ahead would otherwise drag the times of
-        all others with it for good, and wall times in logs would be wrong
-        everywhere. A time beyond the bound is left out: its order is lost,
-        the clock is not.
+        A time beyond the maximum skew is ignored, and the sender's event is
+        not ordered. Otherwise a single wrong clock would permanently advance
+        the clocks of all instances.
         """
         limit = int(self._timers.wall() * 1000) + self._max_skew_ms
         if remote < 0 or get_wall_ms(remote) > limit:
--- a/libs/core/vanillayoke/core/ids.py
+++ b/libs/core/vanillayoke/core/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers: how they are made and how programs map to shards."""
+"""Identifiers and the mapping of programs to shards."""
 
 import hashlib
 import random
@@ -16,32 +16,33 @@
 _ID_BITS = 128
 
 
-def make_id(prefix: str, source: random.Random) -> str:
-    """Make an identifier that cannot be guessed, such as ``prg-1f0c...``.
+def make_id(prefix: str, rng: random.Random) -> str:
+    """Make a random identifier such as ``prg-1f0c...``.
 
-    A process passes ``random.SystemRandom()``; tests pass a seeded source.
+    Pass ``random.SystemRandom()`` if it must be unguessable; tests pass a
+    seeded generator.
     """
-    return f'{prefix}-{source.getrandbits(_ID_BITS):032x}'
+    return f'{prefix}-{rng.getrandbits(_ID_BITS):032x}'
 
 
 def hash_key(*parts: str) -> int:
-    """Hash parts to 64 bits, alike on all instances and versions."""
+    """Hash parts to 64 bits, identically on all instances and versions."""
     return xxhash.xxh3_64_intdigest('\x00'.join(parts).encode())
 
 
 def derive_program_id(client: str, key: str) -> ProgramId:
-    """Return the id of the program that a client's key opens.
+    """Return the id of the program that a client opens with a key.
 
-    A repeated open thus reaches the same shard and finds the program,
-    whichever instance it comes to.
+    A repeated open therefore maps to the same shard and program, whichever
+    instance receives it.
     """
     return ProgramId(f'prg-{_digest(client, key)}')
 
 
 def derive_child_id(parent: str, key: str) -> ProgramId:
-    """Return a sub-agent's id, which keeps its root's id in front.
+    """Return a sub-agent's id, which starts with its root's id.
 
-    All programs of one root so share a shard, and their budget one owner.
+    All programs of a root therefore share a shard, and so an owner.
     """
     return ProgramId(f'{find_root(parent)}.{_digest(parent, key)}')
 
@@ -52,7 +53,7 @@
 
 
 def find_root(program: str) -> str:
-    """Return the root program's id of any program id."""
+    """Return the id of a program's root."""
     return program.partition('.')[0]
 
 
--- a/libs/core/vanillayoke/core/logs.py
+++ b/libs/core/vanillayoke/core/logs.py
@@ -1,4 +1,4 @@
-"""Numbered events written as JSON lines by eliot and kept in the time line."""
+"""Numbered events, written as JSON lines and stored in the timeline."""
 
 import typing
 
@@ -15,7 +15,7 @@
 
 
 class Output(typing.Protocol):
-    """Whatever writes messages from a level on."""
+    """A writer of messages at or above a level."""
 
     level: events.Level
 
@@ -24,11 +24,10 @@
 
 
 class LogOutput:
-    """A stream that gets events as JSON lines, from a level on."""
+    """Writes events at or above a level to a stream as JSON lines."""
 
     def __init__(self, stream: typing.IO[str], level: events.Level) -> None:
-        # Imported late: a process that writes its lines itself needs no
-        # eliot, which takes a tenth of a small instance's start.
+        # Imported here because it is slow and not needed with ``LineOutput``.
         import eliot
 
         self.level = level
@@ -39,11 +38,11 @@
         self._is_open = True
 
     def write(self, message: dict[str, typing.Any]) -> None:
-        """Write one message; a failing stream never fails the writer."""
+        """Write one message; errors of the stream are not raised."""
         self._logger.write(message)
 
     def close(self) -> None:
-        """Write nothing more to the stream; twice is harmless."""
+        """Stop writing to the stream; calling it twice is harmless."""
         if self._is_open:
             self._is_open = False
             self._remove(self._destination)
@@ -60,12 +59,12 @@
 
 
 class Logger:
-    """Writes the catalogue's events of one instance."""
+    """Writes the events of one instance."""
 
     def __init__(
-        self, line: timeline.Timeline, output: Output | None = None
+        self, event_timeline: timeline.Timeline, output: Output | None = None
     ) -> None:
-        self.timeline = line
+        self.timeline = event_timeline
         self._output = output
         self._sequence = 0
         self._listeners: list[Listener] = []
@@ -78,19 +77,19 @@
         capacity: int = timeline.DEFAULT_CAPACITY,
         output: Output | None = None,
     ) -> typing.Self:
-        """Make a logger with a clock and a time line of its own."""
+        """Make a logger with its own clock and timeline."""
         clock = hybrid.HybridClock(timer_service)
-        line = timeline.Timeline(instance, clock, capacity)
-        return cls(line, output)
+        event_timeline = timeline.Timeline(instance, clock, capacity)
+        return cls(event_timeline, output)
 
     def subscribe(self, listener: Listener) -> None:
-        """Call back with each event behind its writing."""
+        """Call ``listener`` with each event after it is written."""
         self._listeners.append(listener)
 
     def write(self, event: events.Event, **fields: timeline.Value) -> None:
-        """Write an event with exactly the fields that the catalogue names.
+        """Write an event; the fields must be exactly those of the catalogue.
 
-        A value of ``None`` means that the field is not known here.
+        A value of ``None`` means that the field is unknown.
         """
         if fields.keys() != _FIELD_SETS[event.number]:
             raise TypeError(_describe_mismatch(event, fields))
@@ -111,7 +110,7 @@
         message = {
             name: value for name, value in fields.items() if value is not None
         }
-        # eliot's readers group by task and order by level within it.
+        # eliot's readers group lines by task and sort them by task level.
         message['task_uuid'] = fields.get('program') or self.timeline.instance
         message['task_level'] = [self._sequence]
         message['timestamp'] = hybrid.get_wall_ms(time) / 1000
@@ -125,5 +124,5 @@
 
 def _describe_mismatch(event: events.Event, fields: dict) -> str:
     given = ', '.join(sorted(fields)) or 'none'
-    named = ', '.join(sorted(event.fields)) or 'none'
-    return f'{event.name} takes the fields {named}; given: {given}'
+    expected = ', '.join(sorted(event.fields)) or 'none'
+    return f'{event.name} takes the fields {expected}; given: {given}'
--- a/libs/core/vanillayoke/core/metrics.py
+++ b/libs/core/vanillayoke/core/metrics.py
@@ -1,7 +1,7 @@
 """Metrics by Prometheus's conventions, rendered by aioprometheus.
 
-Label values come from closed lists or are bounded in number, so that no
-client can make the page of metrics grow without end.
+Label values come from closed lists or are limited in number, so that clients
+can't make the metrics page grow without bound.
 """
 
 import typing
@@ -14,9 +14,8 @@
 MAX_LABEL_VALUES = 500
 MAX_LABEL_VALUE_LENGTH = 64
 _PREFIX = 'vanillayoke_'
-# aioprometheus writes label values as they are, while the text format wants
-# these escaped: a client's name with a quote would make the whole page
-# unreadable to the scraper.
+# aioprometheus does not escape label values; a quote in a client's name would
+# make the whole page unparseable.
 _UNSAFE = str.maketrans({'\\': '_', '"': '_', '\n': '_'})
 
 _INFINITY = float('inf')
@@ -35,7 +34,7 @@
 
 
 class Label(typing.NamedTuple):
-    """A label's name and the values it may have; none means bounded."""
+    """A label's name and its values; if none are listed, any up to a limit."""
 
     name: str
     values: tuple[str, ...] = ()
@@ -63,7 +62,7 @@
 
 
 class _LabelSet:
-    """Checks label names and bounds label values of one metric."""
+    """Checks the label names and limits the label values of one metric."""
 
     def __init__(self, labels: tuple[Label, ...]) -> None:
         self._labels = {label.name: set(label.values) for label in labels}
@@ -71,30 +70,32 @@
 
     def bound(self, given: dict[str, str]) -> dict[str, str]:
         if given.keys() != self._labels.keys():
-            named = ', '.join(self._labels) or 'none'
-            raise TypeError(f'the labels are {named}; given: {sorted(given)}')
+            expected = ', '.join(self._labels) or 'none'
+            raise TypeError(
+                f'the labels are {expected}; given: {sorted(given)}'
+            )
         return {
             name: self._bound_value(name, value)
             for name, value in given.items()
         }
 
     def _bound_value(self, name: str, value: str) -> str:
-        known = self._labels[name]
-        if value in known:
+        values = self._labels[name]
+        if value in values:
             return value
         if name not in self._open:
             return OTHER
         safe = value.translate(_UNSAFE)[:MAX_LABEL_VALUE_LENGTH]
-        if safe in known:
+        if safe in values:
             return safe
-        if len(known) >= MAX_LABEL_VALUES:
+        if len(values) >= MAX_LABEL_VALUES:
             return OTHER
-        known.add(safe)
+        values.add(safe)
         return safe
 
 
 class Counter:
-    """A count that only grows."""
+    """A count that only increases."""
 
     def __init__(self, registry, name: str, doc: str, *labels: Label) -> None:
         self.name = f'{_PREFIX}{name}'
@@ -157,8 +158,8 @@
 
 
 def _start_at_zero(collector, labels: tuple[Label, ...]) -> None:
-    # A counter that first appears with the value 1 shows no increase to an
-    # alert rule, so closed label values are there from the start.
+    # Alert rules see no increase in a counter that first appears with the
+    # value 1, so all listed label values are exported from the start.
     if len(labels) == 1:
         for value in labels[0].values:
             collector.set({labels[0].name: value}, 0)
@@ -345,12 +346,12 @@
         )
 
     def list_metrics(self) -> list[Metric]:
-        """Return all metrics by name."""
+        """Return all metrics, sorted by name."""
         kinds = (Counter, Gauge, Histogram)
-        found = [
+        metrics = [
             value for value in vars(self).values() if isinstance(value, kinds)
         ]
-        return sorted(found, key=lambda metric: metric.name)
+        return sorted(metrics, key=lambda metric: metric.name)
 
     def render(self) -> Page:
         """Render all metrics in Prometheus's text format."""
--- a/libs/core/vanillayoke/core/reference.py
+++ b/libs/core/vanillayoke/core/reference.py
@@ -1,6 +1,6 @@
-"""Reference pages generated from the catalogue of events and the metrics.
+"""Reference pages generated from the event catalogue and the metrics.
 
-Run as ``python -m vanillayoke.core.reference FOLDER`` to write them.
+``python -m vanillayoke.core.reference FOLDER`` writes them.
 """
 
 import pathlib
@@ -30,7 +30,7 @@
         '`task_uuid` (the program or else the instance) and `task_level`.',
         'Text values are cut at 200 characters. A field that is not known',
         'is left out. No field holds messages, arguments, keys or other',
-        "client text. The time line keeps every instance's last events,",
+        "client text. The timeline keeps every instance's last events,",
         'also those below the level of the log.',
     ]
     for group in events.GROUPS:
@@ -90,7 +90,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Write the pages into the folder that is given."""
+    """Write the pages into the given folder."""
     if len(arguments) != 1:
         print('usage: python -m vanillayoke.core.reference FOLDER')
         return 2
--- a/libs/core/vanillayoke/core/request_logs.py
+++ b/libs/core/vanillayoke/core/request_logs.py
@@ -1,7 +1,7 @@
-"""What the logs of all instances say of one request or program.
+"""Log lines of all instances about one request or program.
 
-Besides the lines that name it, the story holds what the same instances lost
-or regained around that time: the cause is usually among these.
+The selection includes related events of the same instances around that time,
+such as a store outage, since these often show the cause.
 """
 
 import string
@@ -11,11 +11,11 @@
 
 from vanillayoke.core import events
 
-# How long before and behind a line of the request something else may have
-# to do with it. Callers wait a few seconds. Seconds.
+# Related events are included from this long before the first line of the
+# request to this long after its last one.
 CONTEXT_BEFORE_SECONDS = 5.0
 CONTEXT_AFTER_SECONDS = 1.0
-_CONTEXT = frozenset(
+_CONTEXT_EVENTS = frozenset(
     (
         'process_started',
         'drain_started',
@@ -39,49 +39,51 @@
 
 
 def parse_lines(texts: typing.Iterable[str]) -> list[LogLine]:
-    """Return the lines that can be read, whatever stands before the JSON."""
-    found = []
+    """Parse log lines, ignoring text before the JSON and invalid lines."""
+    lines = []
     for text in texts:
-        at = text.find('{')
-        if at < 0:
+        start = text.find('{')
+        if start < 0:
             continue
         try:
-            fields = msgspec.json.decode(text[at:].encode())
+            fields = msgspec.json.decode(text[start:].encode())
         except msgspec.DecodeError:
             continue
         name = fields.get('message_type')
         if isinstance(name, str):
             time = float(fields.get('timestamp', 0.0))
             instance = str(fields.get('instance', '?'))
-            found.append(LogLine(time, instance, name, fields))
-    return found
+            lines.append(LogLine(time, instance, name, fields))
+    return lines
 
 
 def select_lines(
-    lines: typing.Sequence[LogLine], wanted: str
+    lines: typing.Sequence[LogLine], subject: str
 ) -> list[LogLine]:
-    """Return the lines of a request or program with what lies around."""
+    """Return the lines of a request or program with related events."""
     requests = {
-        line.fields.get('request') for line in lines if _names(line, wanted)
+        line.fields.get('request')
+        for line in lines
+        if _mentions(line, subject)
     } - {None}
     own = [
         line
         for line in lines
-        if _names(line, wanted) or line.fields.get('request') in requests
+        if _mentions(line, subject) or line.fields.get('request') in requests
     ]
-    taken = set(map(id, own))
+    own_ids = set(map(id, own))
     targets = {line.fields.get('target') for line in own} - {None}
     spans: dict[str, list[float]] = {}
     for line in own:
-        # A line is written at the end of what it tells.
-        began = line.time - float(line.fields.get('ms') or 0.0) / 1000
-        span = spans.setdefault(line.instance, [began, line.time])
-        span[0] = min(span[0], began)
+        # A line is written at the end of the operation that it describes.
+        started_at = line.time - float(line.fields.get('ms') or 0.0) / 1000
+        span = spans.setdefault(line.instance, [started_at, line.time])
+        span[0] = min(span[0], started_at)
         span[1] = max(span[1], line.time)
-    story = list(own)
+    selected = list(own)
     for line in lines:
         span = spans.get(line.instance)
-        if span is None or id(line) in taken:
+        if span is None or id(line) in own_ids:
             continue
         if (
             not span[0] - CONTEXT_BEFORE_SECONDS
@@ -90,27 +92,27 @@
         ):
             continue
         if _is_context(line, targets):
-            story.append(line)
-    return sorted(story, key=lambda line: line.time)
+            selected.append(line)
+    return sorted(selected, key=lambda line: line.time)
 
 
-def format_lines(story: typing.Sequence[LogLine]) -> list[str]:
-    """Return a line of text for each line of the story."""
-    if not story:
+def format_lines(lines: typing.Sequence[LogLine]) -> list[str]:
+    """Format log lines as text, with times relative to the first one."""
+    if not lines:
         return []
-    first = story[0].time
+    first = lines[0].time
     return [
         f'{line.time - first:8.3f} s  {line.instance}  {_describe(line)}'
-        for line in story
+        for line in lines
     ]
 
 
-def _names(line: LogLine, wanted: str) -> bool:
-    return wanted in (line.fields.get('request'), line.fields.get('program'))
+def _mentions(line: LogLine, subject: str) -> bool:
+    return subject in (line.fields.get('request'), line.fields.get('program'))
 
 
 def _is_context(line: LogLine, targets: typing.Container[str]) -> bool:
-    if line.name in _CONTEXT:
+    if line.name in _CONTEXT_EVENTS:
         return True
     if line.name in ('target_sick', 'server_changed', 'server_expired'):
         return line.fields.get('target') in targets
@@ -134,7 +136,7 @@
 
 
 class _Formatter(string.Formatter):
-    """Shows a field that the line left out as unknown."""
+    """Replaces absent fields by a placeholder."""
 
     def get_value(self, key, args, kwargs):
         return kwargs.get(key, 'nobody' if key == 'target' else 'unknown')
--- a/libs/core/vanillayoke/core/timeline.py
+++ b/libs/core/vanillayoke/core/timeline.py
@@ -1,4 +1,4 @@
-"""A bounded ring of an instance's last events, and merging of several."""
+"""A ring buffer of an instance's last events, and merging of several."""
 
 import collections
 import typing
@@ -31,9 +31,9 @@
 
 
 class Filter(typing.NamedTuple):
-    """What to keep of a time line; an empty field keeps all.
+    """Selects events of a timeline; an empty field matches all.
 
-    A program's id keeps its sub-agents' events too.
+    A program's id also matches its sub-agents.
     """
 
     program: str = ''
@@ -41,7 +41,7 @@
     instance: str = ''
 
     def matches(self, event: EventDump) -> bool:
-        """Tell whether an event is to be kept."""
+        """Return whether an event is selected."""
         return (
             self._matches_program(event['program'])
             and self.target in ('', event['target'])
@@ -68,28 +68,27 @@
         self._ring: collections.deque = collections.deque(maxlen=capacity)
 
     def add(self, event: events.Event, fields: dict[str, Value]) -> int:
-        """Keep an event; return its hybrid time."""
+        """Add an event; return its hybrid time."""
         time = self.clock.read()
-        # A tuple takes half the memory of a dictionary, twenty thousand
-        # times; the catalogue has the names.
+        # Tuples take less memory than dictionaries; the event has the names.
         values = tuple([fields[name] for name in event.fields])
         self._ring.append((time, event, values))
         return time
 
-    def dump(self, kept: Filter | None = None) -> TimelineDump:
-        """Return the events that a filter keeps, ready for JSON."""
-        kept = kept or Filter()
+    def dump(self, event_filter: Filter | None = None) -> TimelineDump:
+        """Return the selected events, ready for JSON."""
+        event_filter = event_filter or Filter()
         dumps = (self._dump_event(*entry) for entry in self._ring)
         return {
             'instance': self.instance,
-            'events': [dump for dump in dumps if kept.matches(dump)],
+            'events': [dump for dump in dumps if event_filter.matches(dump)],
         }
 
     def _dump_event(
         self, time: int, event: events.Event, values: tuple[Value, ...]
     ) -> EventDump:
         fields = dict(zip(event.fields, values, strict=True))
-        others = {
+        other_fields = {
             name: value
             for name, value in fields.items()
             if name not in ('program', 'target') and value is not None
@@ -101,25 +100,25 @@
             'instance': self.instance,
             'program': str(fields.get('program') or ''),
             'target': str(fields.get('target') or ''),
-            'fields': others,
+            'fields': other_fields,
         }
 
 
 def merge_timelines(
-    dumps: typing.Iterable[TimelineDump], kept: Filter | None = None
+    dumps: typing.Iterable[TimelineDump], event_filter: Filter | None = None
 ) -> list[EventDump]:
     """Return the events of several instances in causal order.
 
-    Hybrid times respect causality where instances passed them on with their
-    messages, though their wall clocks differ. Ties go by instance; the sort
-    is stable, so an instance's own order always stays.
+    Hybrid times respect causality, even if wall clocks differ, as instances
+    exchange them with their messages. Ties are ordered by instance; the order
+    of an instance's own events is preserved.
     """
-    kept = kept or Filter()
+    event_filter = event_filter or Filter()
     merged = [
         event
         for dump in dumps
         for event in dump['events']
-        if kept.matches(event)
+        if event_filter.matches(event)
     ]
     merged.sort(key=lambda event: (event['time'], event['instance']))
     return merged
--- a/libs/core/vanillayoke/core/timeline_page.py
+++ b/libs/core/vanillayoke/core/timeline_page.py
@@ -1,15 +1,15 @@
-"""The page that a time line is shown on."""
+"""The HTML page of a timeline."""
 
 HUE_STEP = 67
 
-# Filled by str.format, so braces of style and script are doubled. The script
-# only hides rows; without it the page is still whole.
+# A template for str.format, so braces of style and script are doubled. The
+# page works without the script, which only hides rows.
 PAGE = """<!DOCTYPE html>
 <html lang="en">
 <head>
 <meta charset="utf-8">
 <meta name="viewport" content="width=device-width">
-<title>Time line</title>
+<title>Timeline</title>
 <style>
 body {{ font: 14px/1.4 system-ui, sans-serif; margin: 1rem; }}
 table {{ border-collapse: collapse; width: 100%; }}
@@ -26,7 +26,7 @@
 </style>
 </head>
 <body>
-<h1>Time line</h1>
+<h1>Timeline</h1>
 <p>{count} events of {instances} instances in causal order; times are UTC.
 <label>Show rows with all of these words:
 <input id="words" type="search" autocomplete="off"></label>
--- a/libs/core/vanillayoke/core/timeline_views.py
+++ b/libs/core/vanillayoke/core/timeline_views.py
@@ -1,4 +1,4 @@
-"""Time lines as text, as a page and as a trace for trace viewers."""
+"""Timelines as text, as an HTML page and as a trace for trace viewers."""
 
 import datetime
 import html
@@ -10,7 +10,7 @@
 from vanillayoke.core import timeline
 from vanillayoke.core import timeline_page
 
-_CALL_BEGIN = events.CALL_DISPATCHED.number
+_CALL_START = events.CALL_DISPATCHED.number
 _CALL_ENDS = frozenset(
     event.number
     for event in (
@@ -41,23 +41,23 @@
 
 
 def format_time(time: int) -> str:
-    """Return a hybrid time as UTC with its counter, fit for sorting."""
+    """Return a hybrid time as UTC with its counter, in sortable form."""
     seconds = hybrid.get_wall_ms(time) / 1000
-    moment = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
-    shown = moment.isoformat(sep=' ', timespec='milliseconds')
-    return f'{shown[:-6]}+{hybrid.get_counter(time):05d}'
+    utc = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
+    text = utc.isoformat(sep=' ', timespec='milliseconds')
+    return f'{text[:-6]}+{hybrid.get_counter(time):05d}'
 
 
 def describe(event: timeline.EventDump) -> str:
-    """Return an event's text from the catalogue, filled in."""
-    known = events.find_event(event['number'])
-    if known is None:
+    """Return an event's text from the catalogue, formatted with its fields."""
+    definition = events.find_event(event['number'])
+    if definition is None:
         return event['name']
-    fields = dict.fromkeys(known.fields, '?')
+    fields = dict.fromkeys(definition.fields, '?')
     fields.update(event['fields'])
     if event['target']:
         fields['target'] = event['target']
-    return known.text.format_map(fields)
+    return definition.text.format_map(fields)
 
 
 def render_text(merged: typing.Iterable[timeline.EventDump]) -> str:
@@ -67,17 +67,17 @@
 
 def _format_line(event: timeline.EventDump) -> str:
     subjects = [event['program'], event['target'], event['fields'].get('call')]
-    shown = ' '.join(str(subject) for subject in subjects if subject)
+    subject_text = ' '.join(str(subject) for subject in subjects if subject)
     return (
         f'{format_time(event["time"])} {event["instance"]} '
-        f'{event["number"]} {event["name"]} {shown} - {describe(event)}'
+        f'{event["number"]} {event["name"]} {subject_text} - {describe(event)}'
     )
 
 
 def render_html(merged: typing.Sequence[timeline.EventDump]) -> str:
-    """Return one page that needs nothing else, with a filter."""
+    """Return a self-contained HTML page with a filter."""
     instances = sorted({event['instance'] for event in merged})
-    colours = {name: place for place, name in enumerate(instances)}
+    colours = {name: index for index, name in enumerate(instances)}
     rows = ''.join(
         _format_row(event, colours[event['instance']]) for event in merged
     )
@@ -87,8 +87,8 @@
 
 
 def _format_row(event: timeline.EventDump, colour: int) -> str:
-    known = events.find_event(event['number'])
-    level = known.level.name.lower() if known else 'info'
+    definition = events.find_event(event['number'])
+    level = definition.level.name.lower() if definition else 'info'
     cells = (
         format_time(event['time']),
         event['instance'],
@@ -98,9 +98,9 @@
         describe(event),
         _format_fields(event['fields']),
     )
-    shown = ''.join(f'<td>{html.escape(cell)}</td>' for cell in cells)
+    columns = ''.join(f'<td>{html.escape(cell)}</td>' for cell in cells)
     hue = colour * timeline_page.HUE_STEP % 360
-    return f'<tr class="{level}" style="--hue:{hue}">{shown}</tr>\n'
+    return f'<tr class="{level}" style="--hue:{hue}">{columns}</tr>\n'
 
 
 def _format_fields(fields: dict[str, timeline.Value]) -> str:
@@ -115,7 +115,7 @@
     traced: list[TraceEvent] = []
     for event in merged:
         traced.append(_make_instant(event, numbers))
-        if event['number'] == _CALL_BEGIN:
+        if event['number'] == _CALL_START:
             traced.append(_make_span(event, numbers, 'b'))
         elif event['number'] in _CALL_ENDS:
             traced.append(_make_span(event, numbers, 'e'))
@@ -128,7 +128,7 @@
 
 
 class _Numbers:
-    """Numbers for instances and programs, which traces want."""
+    """Process and thread numbers of instances and programs in a trace."""
 
     def __init__(self) -> None:
         self._instances: dict[str, int] = {}
@@ -194,6 +194,6 @@
 
 
 def _get_microseconds(time: int) -> float:
-    # The counter orders events of one millisecond in the viewer.
+    # The counter gives events of one millisecond an order in the viewer.
     counter = min(hybrid.get_counter(time), 999)
     return hybrid.get_wall_ms(time) * 1000 + counter
--- a/libs/core/vanillayoke/core/timers.py
+++ b/libs/core/vanillayoke/core/timers.py
@@ -1,4 +1,4 @@
-"""The timer service: the only place that reads a clock."""
+"""The timer service: the only module that reads a clock."""
 
 import abc
 import asyncio
@@ -7,15 +7,15 @@
 
 
 class Subscription(abc.ABC):
-    """A subscribed callback that can be taken back."""
+    """A scheduled callback that can be cancelled."""
 
     @abc.abstractmethod
     def cancel(self) -> None:
-        """Drop the subscription; calling it twice is harmless."""
+        """Cancel the callback; calling this twice is harmless."""
 
 
 class TimerService(abc.ABC):
-    """Gives the time and calls subscribers back, in seconds."""
+    """Provides times and scheduled callbacks, in seconds."""
 
     @abc.abstractmethod
     def now(self) -> float:
@@ -23,19 +23,19 @@
 
     @abc.abstractmethod
     def wall(self) -> float:
-        """Return the wall-clock time since the epoch, for people only."""
+        """Return the wall-clock time since the epoch; not monotonic."""
 
     @abc.abstractmethod
     def call_after(
         self, delay: float, callback: typing.Callable[[], None]
     ) -> Subscription:
-        """Call back once after a delay."""
+        """Call ``callback`` once after a delay."""
 
     @abc.abstractmethod
     def call_every(
         self, interval: float, callback: typing.Callable[[], None]
     ) -> Subscription:
-        """Call back after each interval until cancelled."""
+        """Call ``callback`` after each interval until cancelled."""
 
     @abc.abstractmethod
     async def sleep(self, delay: float) -> None:
@@ -71,10 +71,7 @@
 
 
 class LoopTimers(TimerService):
-    """Timer service on an event loop's clock.
-
-    Tests give it the virtual-time loop; the process gives it the real one.
-    """
+    """Timer service on an event loop's clock; tests use a virtual one."""
 
     def __init__(
         self,
--- a/tests/core/test_events.py
+++ b/tests/core/test_events.py
@@ -1,4 +1,4 @@
-"""Tests of the event catalogue, its page and its use by all libraries."""
+"""Tests of the event catalogue, its page and its use in all libraries."""
 
 import ast
 import pathlib
@@ -9,7 +9,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 PAGES = ROOT / 'docs' / 'reference'
-CLIENT_TEXT = {
+CLIENT_TEXT_FIELDS = {
     'answer',
     'arguments',
     'authorization',
@@ -22,7 +22,7 @@
     'secret',
     'text',
 }
-WRITTEN_WITH_EVERY_LINE = {
+COMMON_FIELDS = {
     'hybrid',
     'instance',
     'level',
@@ -35,27 +35,27 @@
 
 
 def _list_writes() -> list[tuple[str, str, set[str]]]:
-    """Return place, event name and fields of each write in the libraries."""
-    found = []
+    """Return location, event name and fields of all writes in libraries."""
+    writes = []
     for path in sorted((ROOT / 'libs').rglob('*.py')):
         tree = ast.parse(path.read_text())
         for scope in ast.walk(tree):
             if isinstance(scope, ast.FunctionDef | ast.AsyncFunctionDef):
-                found += _list_writes_in(scope, path.name)
-    return found
+                writes += _list_writes_in(scope, path.name)
+    return writes
 
 
 def _list_writes_in(scope: ast.AST, file: str) -> list:
-    known = _find_dictionaries(scope)
+    literals = _find_dictionaries(scope)
     return [
-        (f'{file}:{node.lineno}', name, _list_fields(node, known))
+        (f'{file}:{node.lineno}', name, _list_fields(node, literals))
         for node in ast.walk(scope)
         if (name := _find_event_name(node)) is not None
     ]
 
 
 def _find_dictionaries(scope: ast.AST) -> dict[str, set[str]]:
-    """Return the keys of the dictionary displays assigned to names."""
+    """Return the keys of dictionary literals that are assigned to names."""
     return {
         target.id: {ast.literal_eval(key) for key in node.value.keys}
         for node in ast.walk(scope)
@@ -66,20 +66,20 @@
     }
 
 
-def _list_fields(call: ast.Call, known: dict[str, set[str]]) -> set[str]:
-    """Return the fields given; ``**name`` gives those of a known display.
+def _list_fields(call: ast.Call, literals: dict[str, set[str]]) -> set[str]:
+    """Return the fields of a call; ``**name`` stands for a literal's keys.
 
-    What cannot be resolved stands in the result and fails the check.
+    An unresolved argument is included in the result and so fails the check.
     """
-    given: set[str] = set()
+    fields: set[str] = set()
     for keyword in call.keywords:
         if keyword.arg is not None:
-            given.add(keyword.arg)
+            fields.add(keyword.arg)
         elif isinstance(keyword.value, ast.Name):
-            given |= known.get(keyword.value.id, {f'**{keyword.value.id}'})
+            fields |= literals.get(keyword.value.id, {f'**{keyword.value.id}'})
         else:
-            given.add('**')
-    return given
+            fields.add('**')
+    return fields
 
 
 def _find_event_name(node: ast.AST) -> str | None:
@@ -99,21 +99,21 @@
 
 def test_texts_name_only_fields_of_their_event(case):
     for event in events.list_events():
-        given = dict.fromkeys(event.fields, 'x')
+        fields = dict.fromkeys(event.fields, 'x')
         with case.subTest(event.name):
-            event.text.format_map(given)
+            event.text.format_map(fields)
 
 
 def test_no_event_has_a_field_for_client_text(case):
     for event in events.list_events():
         with case.subTest(event.name):
-            case.assertFalse(CLIENT_TEXT & set(event.fields))
+            case.assertFalse(CLIENT_TEXT_FIELDS & set(event.fields))
 
 
-def test_no_field_collides_with_those_of_every_line(case):
+def test_no_field_collides_with_the_common_fields(case):
     for event in events.list_events():
         with case.subTest(event.name):
-            case.assertFalse(WRITTEN_WITH_EVERY_LINE & set(event.fields))
+            case.assertFalse(COMMON_FIELDS & set(event.fields))
 
 
 def test_every_event_belongs_to_a_group(case):
@@ -122,17 +122,17 @@
         case.assertIn(f'| {event.number} | `{event.name}` |', page)
 
 
-def test_names_are_used_once(case):
+def test_names_are_unique(case):
     names = [event.name for event in events.list_events()]
     case.assertEqual(len(set(names)), len(names))
 
 
-def test_numbers_find_their_event(case):
+def test_events_are_found_by_number(case):
     case.assertIs(events.FENCED, events.find_event(203))
     case.assertIsNone(events.find_event(99999))
 
 
-def test_written_pages_agree_with_the_code(case):
+def test_generated_pages_are_up_to_date(case):
     case.assertEqual(
         reference.render_events(), (PAGES / 'events.md').read_text()
     )
@@ -141,18 +141,17 @@
     )
 
 
-def test_all_writes_in_the_libraries_fit_the_catalogue(case):
-    """A wrong field would raise in the middle of handling a failure.
+def test_all_writes_in_the_libraries_match_the_catalogue(case):
+    """A wrong field would raise while a failure is handled and hide it.
 
-    An operator would see a second, meaningless error in place of the first.
-    Such paths run seldom, so the sources are checked instead.
+    Tests rarely execute such code, so the sources are checked.
     """
     writes = _list_writes()
     case.assertTrue(writes)
-    for place, name, given in writes:
-        with case.subTest(place):
+    for location, name, fields in writes:
+        with case.subTest(location):
             event = getattr(events, name)
-            case.assertEqual(set(event.fields), given)
+            case.assertEqual(set(event.fields), fields)
 
 
 load_tests = fixtures.adapt(__name__)
--- a/tests/core/test_failures.py
+++ b/tests/core/test_failures.py
@@ -1,4 +1,4 @@
-"""Tests of the table from error kind to answer."""
+"""Tests of the responses to error kinds."""
 
 from vanillayoke.core import failures
 from vanillayoke.testing import fixtures
@@ -8,17 +8,16 @@
     case.assertEqual(set(failures.Kind), set(failures.ANSWERS))
 
 
-def test_work_that_may_have_run_is_only_retried_where_harmless(case):
+def test_requests_that_may_have_run_are_only_retried_if_safe(case):
     retried = {
         kind
         for kind, answer in failures.ANSWERS.items()
         if answer.may_retry and answer.ran is not failures.Ran.NO
     }
-    # All are answered by the program's owner from its journal when the
-    # caller repeats its idempotency key; none sends the call again. An
-    # instance that is not the owner does not know whether an earlier
-    # request with the same key ran, so it must not say "not run". Only
-    # idempotent calls fail with targets_failed.
+    # The program's owner answers a repeated idempotency key from its journal
+    # without sending the call again. An instance that is not the owner does
+    # not know whether an earlier request with the key ran. Only idempotent
+    # calls fail with targets_failed.
     case.assertEqual(
         {
             failures.Kind.STORE_UNCERTAIN,
--- a/tests/core/test_hybrid.py
+++ b/tests/core/test_hybrid.py
@@ -25,7 +25,7 @@
     return hybrid.HybridClock(timers.LoopTimers(loop, wall.read))
 
 
-def test_times_grow_though_the_wall_clock_stands_or_goes_back(
+def test_times_increase_even_if_the_wall_clock_stops_or_goes_back(
     case, clock, wall
 ):
     times = [clock.read(), clock.read()]
@@ -37,18 +37,14 @@
     case.assertEqual(1_700_000_001_000, hybrid.get_wall_ms(times[-1]))
 
 
-def test_received_time_comes_before_the_next_event(case, clock):
+def test_received_time_precedes_the_next_event(case, clock):
     ahead = hybrid.pack_time(1_700_000_060_000, 7)
     case.assertTrue(clock.merge(ahead))
     case.assertGreater(clock.read(), ahead)
 
 
-def test_clock_far_ahead_is_not_followed(case, clock, wall):
-    """Logs of all instances would show next year's dates for good.
-
-    One instance starts with a clock a year ahead and sends its time with
-    every message; the others take the largest time that they hear of.
-    """
+def test_time_of_a_clock_far_ahead_is_ignored(case, clock, wall):
+    """One wrong clock must not permanently advance those of all instances."""
     year = hybrid.pack_time(1_700_000_000_000 + 365 * 86_400_000)
     case.assertFalse(clock.merge(year))
     case.assertFalse(clock.merge(-1))
--- a/tests/core/test_ids.py
+++ b/tests/core/test_ids.py
@@ -14,24 +14,24 @@
     root = ids.derive_program_id('tkacik', 'key-1')
     child = ids.derive_child_id(root, 'key-2')
     grandchild = ids.derive_child_id(child, 'key-2')
-    shards = {ids.find_shard(one) for one in (root, child, grandchild)}
+    shards = {ids.find_shard(program) for program in (root, child, grandchild)}
     case.assertEqual(1, len(shards))
     case.assertEqual(3, len({root, child, grandchild}))
 
 
 def test_ids_of_two_clients_differ_for_the_same_key(case):
-    one = ids.derive_program_id('tkacik', 'key')
-    other = ids.derive_program_id('shiretoko', 'key')
-    case.assertNotEqual(one, other)
+    first = ids.derive_program_id('tkacik', 'key')
+    second = ids.derive_program_id('shiretoko', 'key')
+    case.assertNotEqual(first, second)
 
 
-def test_joined_parts_cannot_be_mistaken_for_others(case):
+def test_joined_parts_are_unambiguous(case):
     case.assertNotEqual(
         ids.derive_program_id('ab', 'c'), ids.derive_program_id('a', 'bc')
     )
 
 
-def test_random_ids_come_from_the_given_source(case):
+def test_random_ids_come_from_the_given_generator(case):
     made = [ids.make_id('x', random.Random(1)) for _ in range(2)]
     case.assertEqual(made[0], made[1])
 
--- a/tests/core/test_lines.py
+++ b/tests/core/test_lines.py
@@ -1,4 +1,4 @@
-"""Tests of log lines that hold nobody up."""
+"""Tests of log output that never blocks."""
 
 import asyncio
 import json
@@ -35,8 +35,10 @@
     return {'number': number, 'message_type': name, **fields}
 
 
-async def test_full_pipe_drops_lines_and_counts_them(case, pipe, output):
-    """Whoever reads the log has stopped reading."""
+async def test_lines_to_a_full_pipe_are_dropped_and_counted(
+    case, pipe, output
+):
+    """The process must not block if the reader of its log stops reading."""
     pipe.is_full = True
     for _ in range(3000):
         output.write(_make(number=1001, name='request_failed', x='y' * 2000))
@@ -47,16 +49,18 @@
     case.assertLessEqual(len(pipe.data), lines.MAX_PENDING_BYTES)
 
 
-async def test_flood_of_one_kind_is_cut_with_a_count(case, loop, pipe, output):
+async def test_excess_lines_of_one_event_are_suppressed_and_counted(
+    case, loop, pipe, output
+):
     for _ in range(lines.MAX_LINES_PER_SECOND + 50):
         output.write(_make())
     await asyncio.sleep(1.1)
     output.write(_make())
     written = [json.loads(line) for line in pipe.data.splitlines()]
-    [note] = [
-        one for one in written if one['message_type'] == 'lines_left_out'
+    [summary] = [
+        line for line in written if line['message_type'] == 'lines_left_out'
     ]
-    case.assertEqual((50, 'request_ended'), (note['count'], note['of']))
+    case.assertEqual((50, 'request_ended'), (summary['count'], summary['of']))
     case.assertEqual(lines.MAX_LINES_PER_SECOND + 2, len(written))
 
 
--- a/tests/core/test_logs.py
+++ b/tests/core/test_logs.py
@@ -50,7 +50,7 @@
     case.assertEqual(1_700_000_000.25, line['timestamp'])
 
 
-def test_wrong_fields_are_refused(case, logger, stream):
+def test_wrong_fields_are_rejected(case, logger, stream):
     with case.assertRaisesRegex(TypeError, 'call_placed takes'):
         logger.write(events.CALL_PLACED, program='prg-1')
     with case.assertRaisesRegex(TypeError, 'process_stopped takes'):
@@ -58,14 +58,14 @@
     case.assertEqual('', stream.getvalue())
 
 
-def test_debug_events_stay_in_the_time_line(case, logger, stream):
+def test_debug_events_are_only_in_the_timeline(case, logger, stream):
     logger.write(events.LEASE_RENEWED, seconds=0.1)
     case.assertEqual('', stream.getvalue())
     [event] = logger.timeline.dump()['events']
     case.assertEqual('lease_renewed', event['name'])
 
 
-def test_long_text_is_cut(case, logger, stream):
+def test_long_text_is_truncated(case, logger, stream):
     logger.write(events.DRAIN_STARTED, reason='x' * 5000)
     [line] = _read_lines(stream)
     case.assertEqual(logs.MAX_TEXT_LENGTH + 3, len(line['reason']))
@@ -73,7 +73,7 @@
     case.assertEqual(logs.MAX_TEXT_LENGTH + 3, len(event['fields']['reason']))
 
 
-def test_unknown_values_are_left_out(case, logger, stream):
+def test_unknown_values_are_omitted(case, logger, stream):
     logger.write(events.CALLER_REFUSED, client=None, kind='k', reason='r')
     [line] = _read_lines(stream)
     case.assertNotIn('client', line)
@@ -88,11 +88,7 @@
 
 
 def test_full_disk_does_not_fail_the_writer(case, loop):
-    """Callers would see errors only because the log cannot be written.
-
-    The stream that the log goes to raises at each write. eliot keeps the
-    error from the code that writes an event.
-    """
+    """Requests must not fail because the log can't be written."""
     broken = logs.start_logging(_FullDisk())
     try:
         logger = logs.Logger.from_config(
--- a/tests/core/test_metrics.py
+++ b/tests/core/test_metrics.py
@@ -49,7 +49,7 @@
     case.assertEqual(1.0, float(bucket))
 
 
-def test_wrong_labels_are_refused(case, registry):
+def test_wrong_labels_are_rejected(case, registry):
     with case.assertRaisesRegex(TypeError, 'labels are kind'):
         registry.refusals.add(client='c')
 
@@ -61,11 +61,7 @@
 
 
 def test_clients_beyond_the_bound_become_other(case, registry):
-    """The scraper would time out and the instance run out of memory.
-
-    Every client's name becomes a label value, and each adds a dozen lines
-    to the page; thousands of clients come by in the life of a process.
-    """
+    """Thousands of clients must not exhaust memory or the scrape timeout."""
     for number in range(metrics.MAX_LABEL_VALUES + 50):
         registry.program_latency.observe(1.0, client=f'client-{number}')
     name = 'vanillayoke_program_latency_seconds_count'
@@ -79,11 +75,7 @@
 
 
 def test_quotes_in_a_client_name_leave_the_page_readable(case, registry):
-    """All metrics of an instance would be gone from the operators' screens.
-
-    A client is named with a quote or a line break; the renderer does not
-    escape label values, so the scraper refuses the whole page.
-    """
+    """An unescaped quote or line break makes the whole page unparseable."""
     registry.tokens.add(5, client='Tk"\\\n}', kind='prompt')
     for line in registry.render().body.decode().splitlines():
         if line[:1] != '#':
@@ -91,23 +83,20 @@
 
 
 def test_alerts_name_metrics_that_exist(case, registry):
-    """An alert would never come, though what it is for happens.
-
-    A metric was renamed and the rules on the page still name the old one.
-    """
+    """An alert on a renamed metric would never fire."""
     page = ROOT / 'docs' / 'howto' / 'alerts.md'
-    named = set(re.findall(r'vanillayoke_[a-z_]+', page.read_text()))
-    known = {metric.name for metric in registry.list_metrics()}
-    bare = {name.removesuffix('_bucket') for name in named}
-    case.assertTrue(bare)
-    case.assertLessEqual(bare, known)
+    mentioned = set(re.findall(r'vanillayoke_[a-z_]+', page.read_text()))
+    defined = {metric.name for metric in registry.list_metrics()}
+    names = {name.removesuffix('_bucket') for name in mentioned}
+    case.assertTrue(names)
+    case.assertLessEqual(names, defined)
 
 
 def test_names_follow_the_conventions(case, registry):
     for metric in registry.list_metrics():
         with case.subTest(metric.name):
-            counts = isinstance(metric, metrics.Counter)
-            case.assertEqual(counts, metric.name.endswith('_total'))
+            is_counter = isinstance(metric, metrics.Counter)
+            case.assertEqual(is_counter, metric.name.endswith('_total'))
             case.assertTrue(metric.doc.endswith('.'))
 
 
--- a/tests/core/test_request_logs.py
+++ b/tests/core/test_request_logs.py
@@ -1,4 +1,4 @@
-"""Tests of telling a request's story, on lines of a played day."""
+"""Tests of selecting log lines, on recorded logs."""
 
 import io
 import pathlib
@@ -8,8 +8,8 @@
 from vanillayoke.testing import fixtures
 
 RECORDED = pathlib.Path(__file__).parent / 'recorded'
-# A program whose turn could not be kept when the store fell silent, and that
-# was refused twice before the store was back.
+# A program with a turn that could not be stored during a store outage, and two
+# more that were rejected before the store recovered.
 PROGRAM = 'd6b88a648097b9'
 
 
@@ -25,51 +25,51 @@
     return status, streams.output.getvalue(), streams.errors.getvalue()
 
 
-def test_walk_from_a_failed_program_to_the_cause(case, lines):
-    """An operator has only the id of a program that failed by night."""
+def test_selection_for_a_failed_program_includes_the_cause(case, lines):
+    """The id of a failed program must be enough to find the cause."""
     shown = request_logs.format_lines(
         request_logs.select_lines(lines, PROGRAM)
     )
     failed = [text for text in shown if 'request_failed' in text]
     case.assertIn('store_away', failed[-1])
-    lost = next(n for n, text in enumerate(shown) if 'store_lost' in text)
-    case.assertLess(lost, shown.index(failed[-1]))
+    outage = next(n for n, text in enumerate(shown) if 'store_lost' in text)
+    case.assertLess(outage, shown.index(failed[-1]))
     times = [float(text.split()[0]) for text in shown]
     case.assertEqual(sorted(times), times)
 
 
-def test_other_programs_are_left_out(case, lines):
-    story = request_logs.select_lines(lines, PROGRAM)
-    programs = {line.fields.get('program') for line in story} - {None}
+def test_other_programs_are_excluded(case, lines):
+    selected = request_logs.select_lines(lines, PROGRAM)
+    programs = {line.fields.get('program') for line in selected} - {None}
     case.assertEqual({PROGRAM}, programs)
 
 
-def test_story_of_one_request(case, lines):
+def test_selection_for_one_request(case, lines):
     failed = [
         line
         for line in request_logs.select_lines(lines, PROGRAM)
         if line.fields.get('outcome') == 'store_away'
     ]
-    wanted = failed[0].fields['request']
-    story = request_logs.select_lines(lines, wanted)
-    requests = {line.fields.get('request') for line in story} - {None}
-    case.assertEqual({wanted}, requests)
+    request = failed[0].fields['request']
+    selected = request_logs.select_lines(lines, request)
+    requests = {line.fields.get('request') for line in selected} - {None}
+    case.assertEqual({request}, requests)
 
 
-def test_noise_between_lines_is_passed(case):
+def test_invalid_lines_are_ignored(case):
     text = ['', 'Traceback', '{"broken', '12.5 host {"message_type":"x"}']
     case.assertEqual(
         ['x'], [one.name for one in request_logs.parse_lines(text)]
     )
 
 
-def test_command_tells_the_story(case):
+def test_command_prints_the_selected_lines(case):
     status, output, errors = _run(f'--logs={RECORDED}', PROGRAM)
     case.assertEqual((0, ''), (status, errors))
     case.assertIn('store_away', output)
 
 
-def test_command_says_what_it_could_not_find(case):
+def test_command_reports_what_it_did_not_find(case):
     status, output, errors = _run(f'--logs={RECORDED}', 'nobody')
     case.assertNotEqual(0, status)
     case.assertIn('nobody', errors)
--- a/tests/core/test_timeline.py
+++ b/tests/core/test_timeline.py
@@ -1,4 +1,4 @@
-"""Tests of time lines: keeping, merging, filtering and rendering."""
+"""Tests of timelines: storing, merging, filtering and rendering."""
 
 import html.parser
 import json
@@ -14,8 +14,8 @@
 PROGRAM = 'prg-1'
 
 
-class _Cells(html.parser.HTMLParser):
-    """Collects the table cells and the outside links of a page."""
+class _PageParser(html.parser.HTMLParser):
+    """Counts the table rows and collects the links of a page."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -61,7 +61,7 @@
     )
 
 
-def _pass_message(sender, receiver) -> None:
+def _send_message(sender, receiver) -> None:
     receiver.timeline.clock.merge(sender.timeline.clock.read())
 
 
@@ -79,16 +79,15 @@
     case.assertEqual(dump, json.loads(json.dumps(dump)))
 
 
-def test_cause_comes_before_effect_though_clocks_differ(case, owner, behind):
-    """An operator would see a call answered before it was passed on.
+def test_cause_precedes_effect_even_if_clocks_differ(case, owner, behind):
+    """A call must not appear to be answered before it was forwarded.
 
-    The second instance's wall clock is 30 s behind. It answers a call that
-    the first one passed on to it, then the first one goes on.
+    The wall clock of the instance that answers is 30 s behind.
     """
     owner.write(events.PASSED_ON, program=PROGRAM, owner='entry-2')
-    _pass_message(owner, behind)
+    _send_message(owner, behind)
     _write_call(behind, 'c1')
-    _pass_message(behind, owner)
+    _send_message(behind, owner)
     owner.write(events.STREAM_CUT, program=PROGRAM, call='c1', reason='closed')
     dumps = [behind.timeline.dump(), owner.timeline.dump()]
     merged = timeline.merge_timelines(dumps)
@@ -98,7 +97,7 @@
     )
 
 
-def test_filter_by_program_takes_its_sub_agents(case, owner):
+def test_filter_by_program_includes_its_sub_agents(case, owner):
     for program in (PROGRAM, f'{PROGRAM}.aa', 'prg-10'):
         owner.write(events.BUDGET_EXHAUSTED, program=program, client='c')
     kept = owner.timeline.dump(timeline.Filter(program=PROGRAM))
@@ -138,15 +137,15 @@
     )
 
 
-def test_page_is_whole_and_escapes_values(case, owner):
+def test_page_has_all_rows_and_escapes_values(case, owner):
     owner.write(events.DRAIN_STARTED, reason='<script>alert(1)</script>')
     _write_call(owner, 'c1')
     merged = timeline.merge_timelines([owner.timeline.dump()])
     page = timeline_views.render_html(merged)
-    cells = _Cells()
-    cells.feed(page)
-    case.assertEqual(1 + 3, cells.rows)
-    case.assertEqual([], cells.links)
+    parser = _PageParser()
+    parser.feed(page)
+    case.assertEqual(1 + 3, parser.rows)
+    case.assertEqual([], parser.links)
     case.assertNotIn('<script>alert', page)
 
 
@@ -163,10 +162,7 @@
 
 
 def test_events_of_a_newer_version_are_shown(case):
-    """A page of a time line would fail during a rolling upgrade.
-
-    A newer instance dumps an event whose number this version does not know.
-    """
+    """During a rolling upgrade, newer instances send unknown events."""
     event: timeline.EventDump = {
         'time': hybrid.pack_time(1_700_000_000_000),
         'number': 99999,
