--- a/libs/core/vanillayoke/core/request_logs.py
+++ b/libs/core/vanillayoke/core/request_logs.py
@@ -126,17 +126,17 @@
     if event is None:
         return line.name
     text = _Formatter().format(event.text, **line.fields)
-    shown = [
+    details = [
         f'{name}={line.fields[name]}'
         for name in event.fields
         if line.fields.get(name) not in (None, '', 0, 0.0)
         and f'{{{name}}}' not in event.text
     ]
-    return f'{line.name}: {text} {" ".join(shown)}'.rstrip()
+    return f'{line.name}: {text} {" ".join(details)}'.rstrip()
 
 
 class _Formatter(string.Formatter):
     """Replaces absent fields by a placeholder."""
 
     def get_value(self, key, args, kwargs):
-        return kwargs.get(key, 'nobody' if key == 'target' else 'unknown')
+        return kwargs.get(key, 'no target' if key == 'target' else 'unknown')
--- a/tests/core/test_ids.py
+++ b/tests/core/test_ids.py
@@ -32,8 +32,8 @@
 
 
 def test_random_ids_come_from_the_given_generator(case):
-    made = [ids.make_id('x', random.Random(1)) for _ in range(2)]
-    case.assertEqual(made[0], made[1])
+    generated = [ids.make_id('x', random.Random(1)) for _ in range(2)]
+    case.assertEqual(generated[0], generated[1])
 
 
 load_tests = fixtures.adapt(__name__)
--- a/tests/core/test_request_logs.py
+++ b/tests/core/test_request_logs.py
@@ -27,14 +27,14 @@
 
 def test_selection_for_a_failed_program_includes_the_cause(case, lines):
     """The id of a failed program must be enough to find the cause."""
-    shown = request_logs.format_lines(
+    texts = request_logs.format_lines(
         request_logs.select_lines(lines, PROGRAM)
     )
-    failed = [text for text in shown if 'request_failed' in text]
+    failed = [text for text in texts if 'request_failed' in text]
     case.assertIn('store_away', failed[-1])
-    outage = next(n for n, text in enumerate(shown) if 'store_lost' in text)
-    case.assertLess(outage, shown.index(failed[-1]))
-    times = [float(text.split()[0]) for text in shown]
+    outage = next(n for n, text in enumerate(texts) if 'store_lost' in text)
+    case.assertLess(outage, texts.index(failed[-1]))
+    times = [float(text.split()[0]) for text in texts]
     case.assertEqual(sorted(times), times)
 
 
@@ -59,7 +59,7 @@
 def test_invalid_lines_are_ignored(case):
     text = ['', 'Traceback', '{"broken', '12.5 host {"message_type":"x"}']
     case.assertEqual(
-        ['x'], [one.name for one in request_logs.parse_lines(text)]
+        ['x'], [line.name for line in request_logs.parse_lines(text)]
     )
 
 
--- a/tests/core/test_timeline.py
+++ b/tests/core/test_timeline.py
@@ -65,12 +65,14 @@
     receiver.timeline.clock.merge(sender.timeline.clock.read())
 
 
-def test_ring_keeps_the_last_events(case, loop):
+def test_timeline_stores_the_last_events(case, loop):
     logger = _make_logger(loop, 'entry-1', 0.0, capacity=2)
     for call in ('c1', 'c2'):
         _write_call(logger, call)
-    kept = logger.timeline.dump()['events']
-    case.assertEqual(['c2', 'c2'], [event['fields']['call'] for event in kept])
+    dumped = logger.timeline.dump()['events']
+    case.assertEqual(
+        ['c2', 'c2'], [event['fields']['call'] for event in dumped]
+    )
 
 
 def test_dump_is_json(case, owner):
@@ -100,10 +102,10 @@
 def test_filter_by_program_includes_its_sub_agents(case, owner):
     for program in (PROGRAM, f'{PROGRAM}.aa', 'prg-10'):
         owner.write(events.BUDGET_EXHAUSTED, program=program, client='c')
-    kept = owner.timeline.dump(timeline.Filter(program=PROGRAM))
+    dump = owner.timeline.dump(timeline.Filter(program=PROGRAM))
     case.assertEqual(
         [PROGRAM, f'{PROGRAM}.aa'],
-        [event['program'] for event in kept['events']],
+        [event['program'] for event in dump['events']],
     )
 
 
--- a/tests/programs/test_decisions.py
+++ b/tests/programs/test_decisions.py
@@ -77,8 +77,8 @@
 def test_attempt_is_made_once(case, driver, program):
     driver.accept(program, 'k1')
     driver.intend(program)
-    again = decisions.intend_call(program, 1, 1, 't2', 1)
-    case.assertEqual(_KIND.CONFLICT, again.kind)
+    repeated = decisions.intend_call(program, 1, 1, 't2', 1)
+    case.assertEqual(_KIND.CONFLICT, repeated.kind)
     driver.answer(program)
     late = decisions.intend_call(program, 1, 2, 't2', 1)
     case.assertEqual(_KIND.CANCELLED, late.kind)
@@ -187,8 +187,8 @@
     options = {'run': 'r', 'tool_call_id': 'c1'}
     driver.run(program, 'r\n2', 'order', **options)
     case.assertEqual((), program.pending_tools)
-    again = _order(driver, program, 'r\n3', **options)
-    case.assertEqual(_KIND.BAD_REQUEST, again.kind)
+    repeated = _order(driver, program, 'r\n3', **options)
+    case.assertEqual(_KIND.BAD_REQUEST, repeated.kind)
 
 
 def test_retry_does_not_repeat_an_order_that_may_have_run(
@@ -198,8 +198,8 @@
     _order(driver, program)
     driver.intend(program)
     driver.fail(program, failures.Failure(_KIND.LEASE_LOST, 'lost'))
-    again = _order(driver, program)
-    case.assertEqual(decisions.DuplicateCall(1), again)
+    repeated = _order(driver, program)
+    case.assertEqual(decisions.DuplicateCall(1), repeated)
 
 
 def test_retry_on_an_ended_program_gets_the_recorded_failure(
--- a/tests/programs/test_replay.py
+++ b/tests/programs/test_replay.py
@@ -56,10 +56,11 @@
 
 
 def test_replay_from_a_snapshot_needs_no_earlier_segments(case, driver, root):
-    taken = [
-        snapshots.take_snapshot(one, 1) for one in driver.programs.values()
+    snapshot_records = [
+        snapshots.take_snapshot(program, 1)
+        for program in driver.programs.values()
     ]
-    driver.apply(taken)
+    driver.apply(snapshot_records)
     driver.run(root, 'more')
     tail = driver.segments[-4:]
     case.assertEqual(driver.programs, replay.replay(tail, drivers.ALL_SHARDS))
