--- a/libs/scheduling/vanillayoke/scheduling/outages.py
+++ b/libs/scheduling/vanillayoke/scheduling/outages.py
@@ -1,49 +1,46 @@
-"""Who waits for a store that is away, and who is told to come back.
-
-The load that this answers: all programs of a service keep their turns in the
-store, and it is away for seconds. A caller sends a turn three times, each
-time with one more try behind a refusal, and gives its program up after that.
-A refusal at once uses up all tries within a third of one turn's time each; a
-turn that waits is served in the moment of the return. So a turn waits as long
-as the store may well be back in time to serve it, and no longer: one that
-can't be served any more is told so at once, and that it has not run.
-
-How long an outage goes on is guessed from its age alone: of outages that
-have lasted for some seconds, about half last as long again. Where earlier
-ones are known, those that lasted longer than this one has count as well.
+"""Whether turns wait for an unavailable store or are refused.
+
+Callers retry a refused turn only a few times, so immediate refusals exhaust
+their retries within a short outage. A turn therefore waits while the store
+is likely enough to return in time to serve it, and is refused otherwise.
+
+The remaining duration of an outage is estimated from its age: about half of
+all outages last for twice their present age or longer. Previous outages that
+lasted longer than the present age are taken into account.
 """
 
 import math
 import typing
 
-# A turn waits where the store is back in time with this chance at least. A
-# refusal at once uses up one of the caller's few tries as well, so waiting
-# pays as long as it may end well; below it nearly all would only hear late.
-# With .25 long programs that had seconds left were given up in the seventh
-# second of an outage that ended then.
-LEAST_CHANCE = 0.1
-# So many earlier outages count as much as the guess by age.
-GUESS_WEIGHT = 2.0
-# Callers come back as told within this share of the time they have left.
-LONGEST_PAUSE_SHARE = 0.32
-# A caller that waited to the end of its time comes back at once: its next
-# try waits in its turn. Seconds.
+# A turn waits only if the store returns in time with at least this
+# probability.
+MIN_RETURN_PROBABILITY = 0.1
+# The estimate by age weighs as much as this many previous outages.
+AGE_ESTIMATE_WEIGHT = 2.0
+# Of the caller's remaining time.
+MAX_PAUSE_RATIO = 0.32
+# For callers whose remaining time is too short to be served: they retry at
+# once, with a new deadline.
 MIN_PAUSE_SECONDS = 0.05
 
 
 class Outage(typing.NamedTuple):
-    """The store is away: for how long, in seconds, and earlier ones."""
+    """An outage of the store: its age and the durations of previous ones.
+
+    All in seconds.
+    """
 
     age: float
-    earlier: tuple[float, ...] = ()
+    previous: tuple[float, ...] = ()
 
 
 class PendingTurn(typing.NamedTuple):
     """A turn that needs the store before it can run.
 
-    ``left`` is the time in seconds until its caller's deadline, ``silence``
-    how long it goes on waiting without a byte, ``needed`` what it takes to
-    serve it.
+    ``time_left`` is the time until the caller's deadline and
+    ``response_timeout`` the time until the caller gives up if it receives
+    nothing. ``service_time`` is the time needed to serve the turn. All in
+    seconds.
     """
 
     time_left: float
@@ -52,68 +49,77 @@
 
 
 class CompletedTurn(typing.NamedTuple):
-    """A turn that has run: only its row is missing.
+    """A turn that has run and whose row is not stored yet.
 
-    ``left`` is the time in seconds until its caller gives up.
+    ``time_left`` is the time in seconds until its caller gives up.
     """
 
     time_left: float
 
 
 class Wait(typing.NamedTuple):
-    """Wait for the store, so many seconds at the most."""
+    """Wait for the store for at most ``timeout`` seconds."""
 
     timeout: float
 
 
 class Refuse(typing.NamedTuple):
-    """Tell the caller to come back after a pause in seconds."""
+    """Refuse the turn; the caller may retry after so many seconds."""
 
     retry_after: float
 
 
 def decide(outage: Outage, turn: PendingTurn | CompletedTurn) -> Wait | Refuse:
-    """Return what becomes of a turn that meets a store that is away."""
+    """Decide whether a turn waits for the unavailable store."""
     match turn:
         case CompletedTurn(time_left):
-            # Its answer is there; it is handed over as soon as its row
-            # stands, for as long as its caller is there to take it.
+            # Refusing it would make the caller run the turn again.
             return Wait(max(0.0, time_left))
         case PendingTurn(time_left, response_timeout, service_time):
             spare = min(time_left, response_timeout) - service_time
             if spare <= 0:
-                return Refuse(min(MIN_PAUSE_SECONDS, _bound_pause(time_left)))
-            if find_chance(outage, spare) < LEAST_CHANCE:
-                return Refuse(_bound_pause(time_left))
+                return Refuse(
+                    min(MIN_PAUSE_SECONDS, _compute_max_pause(time_left))
+                )
+            if (
+                estimate_return_probability(outage, spare)
+                < MIN_RETURN_PROBABILITY
+            ):
+                return Refuse(_compute_max_pause(time_left))
             return Wait(spare)
 
 
-def find_chance(outage: Outage, within: float) -> float:
-    """Return the chance that the store is back within so many seconds."""
-    guess = within / max(within + outage.age, 1e-9)
-    longer = [one for one in outage.earlier if one > outage.age]
+def estimate_return_probability(outage: Outage, within: float) -> float:
+    """Return the probability that the store returns within some seconds."""
+    by_age = within / max(within + outage.age, 1e-9)
+    longer = [
+        duration for duration in outage.previous if duration > outage.age
+    ]
     if not longer:
-        return guess
-    ended = sum(one <= outage.age + within for one in longer)
-    return (GUESS_WEIGHT * guess + ended) / (GUESS_WEIGHT + len(longer))
+        return by_age
+    ended = sum(duration <= outage.age + within for duration in longer)
+    return (AGE_ESTIMATE_WEIGHT * by_age + ended) / (
+        AGE_ESTIMATE_WEIGHT + len(longer)
+    )
 
 
-def find_bridged(
-    sends: int,
+def compute_bridged_outage(
+    attempts: int,
     tries: int,
-    deadline: float,
+    attempt_timeout: float,
     response_timeout: float,
     service_time: float,
 ) -> float:
-    """Return the longest outage that a turn outlives, in seconds.
+    """Return the duration of the longest outage that a turn survives.
 
-    It is sent ``sends`` times with ``tries`` each within ``deadline``, and
-    its caller takes a silence of ``silence``; it begins as the store goes.
-    The pauses between the sends, which callers draw, are left out.
+    The caller makes ``attempts`` with ``tries`` each, all tries of an attempt
+    within ``attempt_timeout``, and the first one when the outage begins. The
+    caller's random pauses between attempts are not included. All times are
+    in seconds.
     """
     now = 0.0
-    for _ in range(sends):
-        time_left = deadline
+    for _ in range(attempts):
+        time_left = attempt_timeout
         for _ in range(tries):
             turn = PendingTurn(time_left, response_timeout, service_time)
             match decide(Outage(now), turn):
@@ -121,7 +127,7 @@
                     now += timeout
                     time_left -= timeout
                     retry_after = min(
-                        MIN_PAUSE_SECONDS, _bound_pause(time_left)
+                        MIN_PAUSE_SECONDS, _compute_max_pause(time_left)
                     )
                 case Refuse(retry_after):
                     pass
@@ -130,5 +136,5 @@
     return math.floor(now * 10) / 10
 
 
-def _bound_pause(time_left: float) -> float:
-    return max(0.0, time_left) * LONGEST_PAUSE_SHARE
+def _compute_max_pause(time_left: float) -> float:
+    return max(0.0, time_left) * MAX_PAUSE_RATIO
--- a/libs/scheduling/vanillayoke/scheduling/prefixes.py
+++ b/libs/scheduling/vanillayoke/scheduling/prefixes.py
@@ -1,15 +1,12 @@
-"""Which targets keep which shared prefixes in their memory.
-
-The load that this answers: prompts begin with one of a few long parts that
-many programs share, and an engine's memory holds little more than all of
-them beside its running requests. Where every engine gets every part, turns
-push the rarer ones out, and each is read again for nearly as long as its
-answer takes; the longer turns take, the more of them run, and the less
-memory is left for the parts. So each part has an order of engines in each
-zone, the same for all instances, and goes to the first of them that is not
-crowded: as many engines hold it as its load needs.
-
-Where memory is ample the order matters little, and less is given up for it.
+"""Distribution of shared prompt prefixes over the caches of engines.
+
+Many programs share a few long prompt prefixes. If every engine gets requests
+with every prefix, the rarer ones are evicted from the cache and computed
+again for each request. Rendezvous hashing therefore gives each prefix an
+order of engines, which is the same for all instances. Requests prefer
+engines of low rank, and use further ones only as the load requires.
+
+The cost of a rank is lower if the cache has room for all prefixes.
 """
 
 import collections
@@ -17,23 +14,18 @@
 
 import xxhash
 
-# Prefixes that nobody used for so long count no more. Seconds.
-MEMORY = 20.0
-# What each step down the order costs where the prefixes seen would fill the
-# whole memory, as a share of a turn's time on an idle target. A part that has
-# to be read takes about half as long as its answer, and all requests of the
-# engine wait for it; with half the step the next engines read parts that the
-# first still had room for.
-STEP = 0.6
-# The most that a prompt's own part is worth where it is held, in the same
-# unit: what has to be read again for it, and pushes others out of memory.
-MOST_OWN = 1.0
-# Behind so many engines one is as bad as another.
+RETENTION_SECONDS = 20.0
+# Cost of one rank if the recent prefixes would fill the whole cache, relative
+# to the duration of a turn on an idle target.
+MAX_RANK_COST = 0.6
+# In the same unit as the rank cost.
+MAX_AFFINITY_VALUE = 1.0
+# Higher ranks cost the same.
 MAX_RANK = 3
 
 
 class SharedPrefix(typing.NamedTuple):
-    """The part of a prompt that other programs begin with too."""
+    """The first part of a prompt, which prompts of other programs share."""
 
     name: str
     tokens: int
@@ -42,9 +34,10 @@
 def get_shared_prefix(
     parts: typing.Sequence[tuple[str, int]],
 ) -> SharedPrefix | None:
-    """Return the part that a prompt shares, from its parts in order.
+    """Return the shared part of a prompt, given names and sizes of its parts.
 
-    The last part is the request's or its session's own.
+    The last part belongs to the request or its session alone, so a prompt
+    with a single part shares nothing.
     """
     return SharedPrefix(*parts[0]) if len(parts) > 1 else None
 
@@ -52,54 +45,56 @@
 def estimate_affinity_value(
     parts: typing.Sequence[tuple[str, int]], capacity: int, slots: int
 ) -> float:
-    """Return what a prompt's own part is worth at the target that holds it.
+    """Return the value of placing a request where its prompt is cached.
 
-    Measured by the memory that each of an engine's requests has for itself:
-    engines are built for prompts of about that size.
+    It is the size of the prompt without its shared prefix, relative to the
+    cache capacity per slot, which is about the prompt size that an engine is
+    configured for.
     """
     if capacity <= 0:
         return 0.0
     tokens = sum(count for _, count in parts[1:])
-    return min(MOST_OWN, tokens * slots / capacity)
+    return min(MAX_AFFINITY_VALUE, tokens * slots / capacity)
 
 
 class RecentPrefixes:
-    """The shared prefixes of one service that were seen of late."""
+    """The shared prefixes of one service within ``RETENTION_SECONDS``."""
 
     def __init__(self) -> None:
-        self._seen: collections.OrderedDict[str, tuple[int, float]] = (
+        self._prefixes: collections.OrderedDict[str, tuple[int, float]] = (
             collections.OrderedDict()
         )
         self._tokens = 0
 
-    def record(self, shared: SharedPrefix, now: float) -> None:
-        """Take that a request begins with a prefix."""
-        known = self._seen.pop(shared.name, None)
-        if known is not None:
-            self._tokens -= known[0]
-        self._seen[shared.name] = shared.tokens, now
-        self._tokens += shared.tokens
-        while self._seen:
-            tokens, at = next(iter(self._seen.values()))
-            if now - at < MEMORY:
+    def record(self, prefix: SharedPrefix, now: float) -> None:
+        """Record that a request begins with a shared prefix."""
+        previous = self._prefixes.pop(prefix.name, None)
+        if previous is not None:
+            self._tokens -= previous[0]
+        self._prefixes[prefix.name] = prefix.tokens, now
+        self._tokens += prefix.tokens
+        while self._prefixes:
+            tokens, at = next(iter(self._prefixes.values()))
+            if now - at < RETENTION_SECONDS:
                 break
-            self._seen.popitem(last=False)
+            self._prefixes.popitem(last=False)
             self._tokens -= tokens
 
     def get_rank_cost(self, capacity: int) -> float:
-        """Return what a step down the order costs now.
+        """Return the present cost of each rank.
 
-        ``capacity`` is an engine's memory in tokens; 0 if it has none.
+        ``capacity`` is the size of an engine's cache in tokens; 0 if it has
+        none.
         """
         if capacity <= 0:
             return 0.0
-        return STEP * min(1.0, self._tokens / capacity)
+        return MAX_RANK_COST * min(1.0, self._tokens / capacity)
 
 
-def rank_targets(shared: str, targets: typing.Iterable[str]) -> list[str]:
-    """Return the targets in the order in which they hold a prefix."""
-    seed = xxhash.xxh3_64_intdigest(shared.encode())
+def rank_targets(prefix: str, targets: typing.Iterable[str]) -> list[str]:
+    """Return the targets in the order of rendezvous hashing for a prefix."""
+    seed = xxhash.xxh3_64_intdigest(prefix.encode())
     return sorted(
         targets,
-        key=lambda one: xxhash.xxh3_64_intdigest(one.encode(), seed),
+        key=lambda target: xxhash.xxh3_64_intdigest(target.encode(), seed),
     )
--- a/libs/scheduling/vanillayoke/scheduling/program_slack.py
+++ b/libs/scheduling/vanillayoke/scheduling/program_slack.py
@@ -1,32 +1,29 @@
-"""Whether a program can still end in time, from what it has lost so far.
+"""The slack of a program: how much more delay it can take to end in time.
 
-A program says how much time it may take in all. On idle targets it takes a
-share of that, about alike for the programs of a route; the rest is what it
-may lose to waiting. What it has lost is known: each turn's time over what
-such a turn usually takes. So what is left to lose needs no knowledge of the
-turns that are still to come.
+Each program has a time limit. On idle targets it takes a share of it that is
+similar for all programs of a route; the rest is available for queueing
+delays. The delay of a turn is its duration beyond the typical duration of
+such turns. Slack is estimated from these delays alone, without a prediction
+of the program's remaining turns.
 """
 
 import typing
 
-# The share of its time that a program takes on idle targets, before any has
-# been seen to end; and how much of an answer one program changes.
-FIRST_SHARE = 0.6
-LEARNING_STEP = 0.02
-# Low, since waiting that went unnoticed makes programs look slower than they
-# are on idle targets.
-SHARE_QUANTILE = 0.4
-# Programs that lost more than this share of their time say little about
-# idle targets.
-MOST_LOST = 0.1
+INITIAL_IDLE_RATIO = 0.6
+LEARNING_RATE = 0.02
+# Below the median, since delays that were not detected make programs appear
+# slower than they are on idle targets.
+IDLE_RATIO_QUANTILE = 0.4
+# Programs that were delayed for more of their time limit are not learned from.
+MAX_DELAY_RATIO = 0.1
 
 
 class Slack(typing.NamedTuple):
-    """What is left to a program, in seconds.
+    """The slack of a program, in seconds.
 
-    ``left`` is what it may still lose to waiting; negative if it can't end
-    in time. ``overdue`` is by how much its time is over, negative before.
-    ``aim`` is the time that it may take in all.
+    ``left`` is the further delay that it can take; negative if it can't end
+    in time. ``overdue`` is the time since its time limit ran out, negative
+    before. ``time_limit`` is the total time that it may take.
     """
 
     left: float
@@ -35,85 +32,94 @@
 
 
 class DelayTracker:
-    """What one program has lost, line of turns by line of turns.
+    """The queueing delays of one program, by session.
 
-    The first line seen is the program's own; others are sub-agents, which
-    begin with what it had lost and whose losses it bears when it goes on.
+    The first session seen is the program's main one. Others belong to
+    sub-agents that run in parallel: they start with the delay of the main
+    session, which takes over the longest delay of all when it goes on.
     """
 
     def __init__(self, session: str, now: float, time_left: float) -> None:
         self.started_at = now
         self.time_limit = time_left
         self.last_active_at = now
-        self._own = session
-        self._lost: dict[str, float] = {session: 0.0}
+        self._main_session = session
+        self._delays: dict[str, float] = {session: 0.0}
 
     @property
     def delay(self) -> float:
-        """What the program has lost, in seconds."""
-        return max(self._lost.values())
+        """The total delay of the program, in seconds."""
+        return max(self._delays.values())
 
     def start_turn(self, session: str, now: float, time_left: float) -> None:
-        """Note that a turn of a line begins."""
+        """Record the start of a turn in a session."""
         self.last_active_at = now
         if time_left > 0:
-            # A clock that was begun in the middle of the program learns the
-            # whole time bit by bit.
+            # A tracker created in the middle of a program starts with a time
+            # limit that is too short.
             self.time_limit = max(
                 self.time_limit, now - self.started_at + time_left
             )
-        if session == self._own:
-            self._lost[session] = self.delay
+        if session == self._main_session:
+            self._delays[session] = self.delay
         else:
-            self._lost.setdefault(session, self._lost[self._own])
+            self._delays.setdefault(session, self._delays[self._main_session])
 
     def record_delay(self, session: str, seconds: float, now: float) -> None:
-        """Note that a line lost time to waiting."""
+        """Add the delay of a turn in a session."""
         self.last_active_at = now
-        self._lost[session] = self._lost.get(session, 0.0) + seconds
+        self._delays[session] = self._delays.get(session, 0.0) + seconds
 
     def estimate_slack(
-        self, session: str, now: float, idle_share: float
+        self, session: str, now: float, idle_ratio: float
     ) -> Slack:
-        """Return what is left to a line of the program."""
-        delay = self._lost.get(session, self.delay)
-        left = self.time_limit * (1 - idle_share) - delay
+        """Return the slack of a session of the program."""
+        delay = self._delays.get(session, self.delay)
+        left = self.time_limit * (1 - idle_ratio) - delay
         overdue = now - self.started_at - self.time_limit
         return Slack(min(left, -overdue), overdue, self.time_limit)
 
 
 class IdleTimeRatio:
-    """Learns what share of their time programs of a route take when idle."""
+    """The share of their time limit that a route's programs need when idle.
 
-    def __init__(self) -> None:
-        self.value = FIRST_SHARE
+    It is a quantile of what is observed.
+    """
 
-    def learn(self, clock: DelayTracker) -> None:
-        """Take a program that has ended."""
-        if clock.time_limit <= 0 or clock.delay > MOST_LOST * clock.time_limit:
+    def __init__(self) -> None:
+        self.value = INITIAL_IDLE_RATIO
+
+    def learn(self, tracker: DelayTracker) -> None:
+        """Update the estimate with a program that has ended."""
+        if (
+            tracker.time_limit <= 0
+            or tracker.delay > MAX_DELAY_RATIO * tracker.time_limit
+        ):
             return
-        share = (clock.last_active_at - clock.started_at) / clock.time_limit
-        # Moves a quantile's estimate up or down by a small step.
-        if share > self.value:
-            self.value += LEARNING_STEP * SHARE_QUANTILE
+        ratio = (
+            tracker.last_active_at - tracker.started_at
+        ) / tracker.time_limit
+        # Stochastic approximation of a quantile.
+        if ratio > self.value:
+            self.value += LEARNING_RATE * IDLE_RATIO_QUANTILE
         else:
-            self.value -= LEARNING_STEP * (1 - SHARE_QUANTILE)
+            self.value -= LEARNING_RATE * (1 - IDLE_RATIO_QUANTILE)
         self.value = min(0.95, max(0.2, self.value))
 
 
 class TypicalTime:
-    """The usual time of something, as a low quantile of what is seen.
+    """A typical duration without queueing.
 
-    Queues only add to a time, so the quick part of what is seen tells what
-    it takes without one.
+    It is a low quantile of the observed durations, since queueing only makes
+    them longer.
     """
 
-    def __init__(self, first: float, quantile: float = 0.3) -> None:
-        self.value = first
+    def __init__(self, initial: float, quantile: float = 0.3) -> None:
+        self.value = initial
         self._quantile = quantile
 
     def learn(self, seconds: float) -> None:
-        """Take one time seen."""
+        """Update the estimate with an observed duration."""
         step = 0.05 * self.value
         if seconds > self.value:
             self.value += step * self._quantile
@@ -122,19 +128,19 @@
 
 
 class AverageTime:
-    """The mean time of something, followed slowly.
+    """An exponential moving average of durations.
 
-    Single long times count as a few times the mean at the most, so that a
-    target that hangs does not make all others look quick.
+    Long durations are clipped to ``MAX_RATIO`` times the average, so that a
+    target that hangs does not make all others appear fast.
     """
 
-    STEP = 0.03
-    LONGEST = 4.0
+    WEIGHT = 0.03
+    MAX_RATIO = 4.0
 
-    def __init__(self, first: float) -> None:
-        self.value = first
+    def __init__(self, initial: float) -> None:
+        self.value = initial
 
     def learn(self, seconds: float) -> None:
-        """Take one time seen."""
-        bounded = min(seconds, self.LONGEST * self.value)
-        self.value += self.STEP * (bounded - self.value)
+        """Update the average with an observed duration."""
+        clipped = min(seconds, self.MAX_RATIO * self.value)
+        self.value += self.WEIGHT * (clipped - self.value)
--- a/libs/scheduling/vanillayoke/scheduling/slowdown.py
+++ b/libs/scheduling/vanillayoke/scheduling/slowdown.py
@@ -1,55 +1,61 @@
-"""How much slower a target makes each event the more requests it works on.
+"""How much a target slows down with the number of its requests.
 
-The load that this answers: engines with so many slots that a batch far below
-full is already several times slower than an empty one. Counted by full slots
-alone, all places below half full look alike, and requests pile up at the
-nearest. Engines differ in this, so it is learned from the answers: the time
-from event to event against the requests that the target had.
+Engines with many slots can become several times slower long before all slots
+are used. The slope differs between engines and is therefore learned from the
+time between events of a response and the target's load.
 """
 
-# Weight of what was seen before each new answer: about the last hundred
-# count, some seconds of an instance's work.
-MEMORY = 0.99
-# Before anything is seen a full target counts as half as slow again; that
-# guess weighs as much as so many answers.
-FIRST_SLOWDOWN = 0.5
-FIRST_WEIGHT = 5.0
-# No engine gets slower than in proportion to its requests.
-STEEPEST = 1.0
+# Weight of all earlier samples relative to a new one.
+DECAY_FACTOR = 0.99
+# Initial estimate of the relative slowdown of a full target, and its weight
+# in samples.
+INITIAL_SLOWDOWN = 0.5
+INITIAL_WEIGHT = 5.0
+# Latency grows at most in proportion to the requests.
+MAX_SLOPE = 1.0
 
 
 class Slowdown:
-    """Learns one service's slope by least squares with fading memory."""
+    """Learns a service's slope by least squares with exponential decay."""
 
     def __init__(self, slots: int) -> None:
         self._weight = 0.0
         self._load = 0.0
-        self._gap = 0.0
+        self._interval = 0.0
         self._load_squared = 0.0
-        self._load_gap = 0.0
-        self._guess = FIRST_SLOWDOWN / max(1, slots)
+        self._load_interval = 0.0
+        self._initial_slope = INITIAL_SLOWDOWN / max(1, slots)
 
-    def learn(self, load: float, gap: float) -> None:
-        """Take an answer's mean time between events, in any unit."""
-        self._weight = self._weight * MEMORY + 1
-        self._load = self._load * MEMORY + load
-        self._gap = self._gap * MEMORY + gap
-        self._load_squared = self._load_squared * MEMORY + load * load
-        self._load_gap = self._load_gap * MEMORY + load * gap
+    def learn(self, load: float, interval: float) -> None:
+        """Add a sample: load and average time between events, in any unit."""
+        self._weight = self._weight * DECAY_FACTOR + 1
+        self._load = self._load * DECAY_FACTOR + load
+        self._interval = self._interval * DECAY_FACTOR + interval
+        self._load_squared = self._load_squared * DECAY_FACTOR + load * load
+        self._load_interval = (
+            self._load_interval * DECAY_FACTOR + load * interval
+        )
 
     @property
     def slope(self) -> float:
-        """What each request adds, as a share of the time when idle."""
+        """The latency that each request adds, relative to an idle target."""
         if self._weight <= 0:
-            return self._guess
-        load, gap = self._load / self._weight, self._gap / self._weight
-        spread = self._load_squared / self._weight - load * load
-        if spread <= 0 or gap <= 0:
-            return self._guess
-        rise = (self._load_gap / self._weight - load * gap) / spread
-        idle = max(gap - rise * load, 0.1 * gap)
-        seen = min(STEEPEST, max(0.0, rise / idle))
-        # Answers at about the same load say little of the slope.
-        weight = self._weight * min(1.0, spread)
-        total = weight + FIRST_WEIGHT
-        return (seen * weight + self._guess * FIRST_WEIGHT) / total
+            return self._initial_slope
+        load, interval = (
+            self._load / self._weight,
+            self._interval / self._weight,
+        )
+        variance = self._load_squared / self._weight - load * load
+        if variance <= 0 or interval <= 0:
+            return self._initial_slope
+        increase = (
+            self._load_interval / self._weight - load * interval
+        ) / variance
+        idle = max(interval - increase * load, 0.1 * interval)
+        observed = min(MAX_SLOPE, max(0.0, increase / idle))
+        # Samples at similar loads carry little information on the slope.
+        weight = self._weight * min(1.0, variance)
+        total = weight + INITIAL_WEIGHT
+        return (
+            observed * weight + self._initial_slope * INITIAL_WEIGHT
+        ) / total
--- a/tests/scheduling/test_outages.py
+++ b/tests/scheduling/test_outages.py
@@ -1,34 +1,29 @@
-"""Tests of who waits for a store that is away, and who is refused.
-
-The load: programs whose turns are all kept, callers with four seconds a
-turn, three sends and one more try behind a refusal, and outages that last
-for seconds.
-"""
+"""Tests of the decision whether turns wait for an unavailable store."""
 
 from vanillayoke.scheduling import outages
 from vanillayoke.testing import fixtures
 
-DEADLINE, SILENCE, NEEDED = 4.0, 3.0, 0.5
+TURN_TIMEOUT, RESPONSE_TIMEOUT, SERVICE_TIME = 4.0, 3.0, 0.5
 
 
-def _decide(age, time_left=DEADLINE, earlier=()):
-    turn = outages.PendingTurn(time_left, SILENCE, NEEDED)
-    return outages.decide(outages.Outage(age, earlier), turn)
+def _decide(age, time_left=TURN_TIMEOUT, previous=()):
+    turn = outages.PendingTurn(time_left, RESPONSE_TIMEOUT, SERVICE_TIME)
+    return outages.decide(outages.Outage(age, previous), turn)
 
 
-def test_turn_that_may_be_served_waits_as_long_as_it_can(case):
+def test_turn_waits_while_it_can_be_served_in_time(case):
     case.assertEqual(outages.Wait(2.5), _decide(0.1))
     case.assertEqual(outages.Wait(2.5), _decide(7.0))
     case.assertEqual(outages.Wait(0.5), _decide(1.0, time_left=1.0))
 
 
-def test_turn_that_hardly_can_be_served_is_refused_at_once(case):
-    """Its caller is told to use the time it has, not to hurry."""
+def test_turn_that_is_unlikely_to_be_served_is_refused_at_once(case):
+    """The pause is long, so that the caller uses its remaining time."""
     match _decide(60.0):
         case outages.Refuse(retry_after):
-            case.assertAlmostEqual(DEADLINE * 0.32, retry_after)
+            case.assertAlmostEqual(TURN_TIMEOUT * 0.32, retry_after)
         case _:
-            case.fail('it waits')
+            case.fail('turn waits')
 
 
 def test_turn_without_time_to_be_served_is_refused_at_once(case):
@@ -37,49 +32,50 @@
             case outages.Refuse(retry_after):
                 case.assertLessEqual(retry_after, outages.MIN_PAUSE_SECONDS)
             case _:
-                case.fail('it waits')
+                case.fail('turn waits')
 
 
-def test_turn_that_has_run_waits_as_long_as_its_caller(case):
-    """Its answer is there: to give it up would be to run it again."""
+def test_completed_turn_waits_until_its_caller_gives_up(case):
+    """A refusal would make the caller run the turn again."""
     for age in (0.1, 5.0, 300.0):
         wait = outages.decide(outages.Outage(age), outages.CompletedTurn(2.2))
         case.assertEqual(outages.Wait(2.2), wait)
 
 
-def test_chance_falls_with_age_and_grows_with_time(case):
-    ages = [outages.find_chance(outages.Outage(age), 2.0) for age in range(10)]
-    case.assertEqual(sorted(ages, reverse=True), ages)
-    times = [
-        outages.find_chance(outages.Outage(3.0), time / 2)
+def test_return_probability_falls_with_age_and_grows_with_time(case):
+    by_age = [
+        outages.estimate_return_probability(outages.Outage(age), 2.0)
+        for age in range(10)
+    ]
+    case.assertEqual(sorted(by_age, reverse=True), by_age)
+    by_time = [
+        outages.estimate_return_probability(outages.Outage(3.0), time / 2)
         for time in range(10)
     ]
-    case.assertEqual(sorted(times), times)
+    case.assertEqual(sorted(by_time), by_time)
 
 
-def test_earlier_outages_tell_when_this_one_may_end(case):
-    """Outages here last four seconds, or a minute."""
+def test_previous_outages_influence_the_return_probability(case):
     short = outages.Outage(3.0, (4.0, 4.1, 3.9, 4.2))
     long = outages.Outage(3.0, (60.0, 61.0, 59.0, 58.0))
-    alone = outages.Outage(3.0)
-    chances = [
-        outages.find_chance(outage, 1.5) for outage in (long, alone, short)
+    first = outages.Outage(3.0)
+    probabilities = [
+        outages.estimate_return_probability(outage, 1.5)
+        for outage in (long, first, short)
     ]
-    case.assertEqual(sorted(chances), chances)
-    case.assertGreater(chances[2], 0.7)
-    case.assertLess(chances[0], 0.15)
-
+    case.assertEqual(sorted(probabilities), probabilities)
+    case.assertGreater(probabilities[2], 0.7)
+    case.assertLess(probabilities[0], 0.15)
 
-def test_turn_outlives_an_outage_of_seven_seconds(case):
-    """A caller's own tries carry a turn over an outage of some seconds.
 
-    Refused at once each time, as before once an outage was two seconds old,
-    they are used up within five.
-    """
-    bridged = outages.find_bridged(3, 2, DEADLINE, SILENCE, NEEDED)
+def test_turn_survives_an_outage_of_seven_seconds(case):
+    """Immediate refusals would exhaust the caller's retries earlier."""
+    bridged = outages.compute_bridged_outage(
+        3, 2, TURN_TIMEOUT, RESPONSE_TIMEOUT, SERVICE_TIME
+    )
     case.assertGreaterEqual(bridged, 7.5)
-    at_once = 3 * 0.32 * DEADLINE
-    case.assertLess(at_once, 5.0)
+    if_refused = 3 * 0.32 * TURN_TIMEOUT
+    case.assertLess(if_refused, 5.0)
 
 
 load_tests = fixtures.adapt(__name__)
