--- a/libs/scheduling/vanillayoke/scheduling/quotas.py
+++ b/libs/scheduling/vanillayoke/scheduling/quotas.py
@@ -1,61 +1,54 @@
-"""What an organisation has used of its limit, and who may still begin.
+"""Admission of requests by the rate limits of organisations.
 
-A limit is a number of requests in any window of some seconds. Programs count
-as a whole: a refusal in the middle of one wastes all that it has used. So a
-request of a program that has begun is admitted while the limit has room for
-it, and a new program only if the limit has room for the rest of those that
-have begun and for itself.
+A limit is a number of requests in a sliding window. Refusing a request in the
+middle of a program wastes all its previous requests. A request of a running
+program is therefore admitted while the limit is not reached, a new program
+only if the limit also covers the expected requests of all running programs
+and its own.
 """
 
 import collections
 import typing
 
-# Time is counted in so many slices a window. A slice counts until all of it
-# has left the window: what is counted is never less than what was used.
-SLICES = 50
-# A program that sent nothing for so long keeps no room. Pauses between its
-# requests are far shorter. Seconds.
-PROGRAM_REST = 2.0
-# For how long it is remembered that it has begun: it may have to wait for an
-# outage to end. Seconds.
-PROGRAM_MEMORY = 20.0
-# What a program needs before any has been seen to its end, in requests, and
-# how long it takes, in seconds.
-USUAL_NEED = 4.0
-USUAL_TIME = 1.5
-# The weight of each program that has ended in what the next ones are taken
-# to need.
-LEARNING = 0.1
-# How long a program goes on that has sent more than what is usual can't be
-# known. It is taken to send this share of what it has sent so far.
-LEAST_REST = 0.25
-# A program that has sent this many times what is usual, and so many requests
-# at the least, may loop without end: others of its organisation go first.
-LOOP_TIMES = 6.0
-SHORTEST_LOOP = 50
-# The most programs that are remembered for one organisation.
-MOST_PROGRAMS = 1000
+# A slice counts until it has left the window completely, so that the count is
+# never too low.
+SLICES_PER_WINDOW = 50
+# A program without requests for this time has no expected requests.
+PROGRAM_IDLE_SECONDS = 2.0
+# A program counts as running for this time after its last request: it may be
+# waiting for an outage to end.
+PROGRAM_RETENTION_SECONDS = 20.0
+INITIAL_REQUESTS_PER_PROGRAM = 4.0
+INITIAL_PROGRAM_SECONDS = 1.5
+LEARNING_RATE = 0.1
+# A program is expected to send at least this share of the requests that it
+# has already sent.
+MIN_EXPECTED_RATIO = 0.25
+# Programs with more requests than this, both relative to the average and in
+# total, may be in an endless loop. Other programs take precedence over them.
+LOOP_FACTOR = 6.0
+MIN_LOOP_REQUESTS = 50
+MAX_PROGRAMS = 1000
 MIN_PAUSE_SECONDS = 0.05
-# While an organisation uses little, requests are admitted everywhere and told
-# afterwards. Its use is close to the limit if it would pass this share of it
-# within so many times RECENT at its present pace, or with what its programs
-# are still to send. Seconds.
-CLOSE_SHARE = 0.8
-RECENT = 0.5
-LOOKAHEAD = 2.0
-# The share of what is tolerated beyond a limit that programs which have begun
-# may use, to end. The rest is for what is used without being counted.
-OVERRUN_SHARE = 0.4
-# A home writes its account down each time that it has admitted this share of
-# that rest. What is left covers what is on its way.
+# An account is near its limit if the present usage, together with the usage
+# of the last RECENT_SECONDS times LOOKAHEAD_FACTOR or the expected requests of
+# its programs, exceeds this share of the limit.
+NEAR_LIMIT_RATIO = 0.8
+RECENT_SECONDS = 0.5
+LOOKAHEAD_FACTOR = 2.0
+# Share of the tolerance beyond a limit that running programs may use. The
+# rest covers requests that are not counted.
+OVERRUN_RATIO = 0.4
+# A coordinator saves an account whenever it has admitted this share of that
+# rest. The remainder covers requests admitted while the save is in progress.
 SAVE_RATIO = 0.6
 
 
 class Limit(typing.NamedTuple):
-    """How many requests may run in a window of ``length`` seconds.
+    """The number of requests allowed in a window of ``length`` seconds.
 
-    Programs that have begun may run ``overrun`` more, to end. ``tolerance``
-    more may run where counts were lost, never else.
+    Running programs may exceed it by ``overrun``, so that they can end.
+    ``tolerance`` bounds the excess that may result from lost counts.
     """
 
     requests: float
@@ -67,17 +60,17 @@
     def from_rate(
         cls, rate: float, burst: float, tolerance: 'Tolerance'
     ) -> typing.Self:
-        """Return the limit of a rate a second and a burst on top."""
+        """Return the limit for a rate per second and an additional burst."""
         requests = rate * tolerance.window + burst
         extra = tolerance.share * requests + tolerance.requests
-        overrun = OVERRUN_SHARE * extra
+        overrun = OVERRUN_RATIO * extra
         return cls(requests, overrun, extra - overrun, tolerance.window)
 
 
 class Tolerance(typing.NamedTuple):
-    """What may run beyond limits: a share of each, and requests on top.
+    """By how much limits may be exceeded: a share of each plus some requests.
 
-    ``window`` is the time in seconds that all limits are counted over.
+    ``window`` is the length in seconds of the window of all limits.
     """
 
     window: float = 5.0
@@ -86,10 +79,11 @@
 
 
 def get_reserve(limit: Limit, lost: float, is_known: bool) -> float:
-    """Return how much of a limit may be used without a trace.
+    """Return the requests of a limit to hold back for usage that was lost.
 
-    ``lost`` is the share of instances that were lost within a window. What
-    they have used is known if what a former home wrote down was read.
+    ``lost`` is the share of instances that failed within a window.
+    ``is_known`` tells that the usage saved by a previous coordinator was
+    read, so that nothing has to be held back.
     """
     if is_known:
         return 0.0
@@ -97,23 +91,25 @@
 
 
 def get_initial_reserve(limit: Limit, is_known: bool) -> float:
-    """Return how much a new home keeps back until it was told all.
+    """Return the requests that a new coordinator holds back at first.
 
-    The home before may go on for those that have not heard of the change.
+    Until all instances have reported their usage to the new coordinator, the
+    previous one may still admit requests.
     """
-    beside = limit.overrun + limit.tolerance
-    return max(beside, get_reserve(limit, 1.0, is_known))
+    excess = limit.overrun + limit.tolerance
+    return max(excess, get_reserve(limit, 1.0, is_known))
 
 
 class Admitted(typing.NamedTuple):
-    """The request counts as used."""
+    """The request is admitted and counted."""
 
 
 class Refused(typing.NamedTuple):
-    """The limit has no room; there may be some in ``pause`` seconds.
+    """The limit is reached; a retry may succeed in ``retry_after`` seconds.
 
-    ``used`` requests of ``limit`` are counted, and ``expected`` ones are kept
-    for programs that have begun; ``is_new`` says that the program has not.
+    ``used`` requests are counted against ``limit``, and ``expected`` ones are
+    reserved for running programs. ``is_new`` means that the request would
+    start a program.
     """
 
     retry_after: float
@@ -127,7 +123,7 @@
 
 
 class AdmissionRequest(typing.NamedTuple):
-    """A request that asks to be admitted; '' where there is no program."""
+    """The program and route of a request; '' without a program."""
 
     program: str
     route: str
@@ -136,44 +132,45 @@
 class _Program:
     def __init__(self, route: str, now: float) -> None:
         self.route = route
-        self.began = now
+        self.started_at = now
         self.last_used_at = now
         self.sent = 0
         self.is_learned = False
 
 
 class Window:
-    """Counts over a sliding window, by who reported them."""
+    """Request counts in a sliding window, by reporter."""
 
     def __init__(self, length: float) -> None:
         self.length = length
-        self._width = length / SLICES
+        self._width = length / SLICES_PER_WINDOW
         self._totals: collections.Counter[int] = collections.Counter()
         self._reported: dict[str, collections.Counter[int]] = {}
-        # What a former account counted, of which the reports are a part.
-        self._inherited: dict[int, int] = {}
+        # Counts of a previous coordinator, which include those that are
+        # reported again to this one.
+        self._restored: dict[int, int] = {}
 
     def add(self, reporter: str, at: float, count: int) -> None:
-        """Count requests of a moment; a negative count takes some back."""
+        """Count requests at a time; a negative count withdraws some."""
         index = int(at / self._width)
         counts = self._reported.setdefault(reporter, collections.Counter())
         counts[index] += count
         self._totals[index] += count
 
     def remove_reporter(self, reporter: str) -> None:
-        """Forget what came from a reporter, who tells it all anew."""
+        """Remove a reporter's counts before it reports all of them again."""
         for index, count in self._reported.pop(reporter, {}).items():
             self._totals[index] -= count
 
     def restore(self, counts: typing.Iterable[tuple[float, int]]) -> None:
-        """Take over a former account: moments and counts of all reporters."""
-        self._inherited = {}
+        """Take over a previous account's times and counts of all reporters."""
+        self._restored = {}
         for at, count in counts:
             index = int(at / self._width)
-            self._inherited[index] = self._inherited.get(index, 0) + count
+            self._restored[index] = self._restored.get(index, 0) + count
 
     def count(self, now: float, last: float | None = None) -> int:
-        """Return the count of the ``last`` seconds, of the window if unset."""
+        """Return the count of the last seconds, by default of the window."""
         length = self.length if last is None else last
         first = int((now - length) / self._width)
         return sum(
@@ -181,7 +178,7 @@
         )
 
     def estimate_wait(self, now: float, excess: float) -> float:
-        """Return in how many seconds so many requests leave the window."""
+        """Return the seconds until so many requests have left the window."""
         for index, count in sorted(self._list_counts()):
             excess -= count
             if excess <= 0:
@@ -190,7 +187,7 @@
         return self.length
 
     def list_counts(self) -> list[tuple[float, int]]:
-        """Return moments and counts of what is in the window."""
+        """Return times and counts of the requests in the window."""
         return [
             (index * self._width, count)
             for index, count in self._list_counts()
@@ -198,56 +195,58 @@
         ]
 
     def prune(self, now: float) -> None:
-        """Drop what has left the window."""
+        """Discard counts that have left the window."""
         first = int((now - self.length) / self._width)
         for counts in (
             self._totals,
-            self._inherited,
+            self._restored,
             *self._reported.values(),
         ):
-            for index in [one for one in counts if one < first]:
+            for index in [i for i in counts if i < first]:
                 del counts[index]
-        for reporter in [one for one, c in self._reported.items() if not c]:
+        for reporter in [r for r, c in self._reported.items() if not c]:
             del self._reported[reporter]
 
     def _list_counts(self) -> typing.Iterator[tuple[int, int]]:
-        if not self._inherited:
+        if not self._restored:
             yield from self._totals.items()
             return
-        for index in self._totals.keys() | self._inherited.keys():
-            inherited = self._inherited.get(index, 0)
-            yield index, max(self._totals[index], inherited)
+        for index in self._totals.keys() | self._restored.keys():
+            restored = self._restored.get(index, 0)
+            yield index, max(self._totals[index], restored)
 
 
 class ProgramStatistics:
-    """How many requests programs send and how long they take, by route."""
+    """Average numbers of requests and durations of programs, by route."""
 
     def __init__(self) -> None:
-        self._found: dict[str, tuple[float, float]] = {}
+        self._averages: dict[str, tuple[float, float]] = {}
 
-    def find(self, route: str) -> tuple[float, float]:
-        """Return the requests and seconds that a program is taken to need."""
-        return self._found.get(route, (USUAL_NEED, USUAL_TIME))
+    def get(self, route: str) -> tuple[float, float]:
+        """Return a program's average number of requests and its seconds."""
+        return self._averages.get(
+            route, (INITIAL_REQUESTS_PER_PROGRAM, INITIAL_PROGRAM_SECONDS)
+        )
 
     def learn(self, route: str, requests: float, seconds: float) -> None:
-        """Take what a program has needed."""
-        need, time = self.find(route)
-        self._found[route] = (
-            need + LEARNING * (requests - need),
-            time + LEARNING * (seconds - time),
+        """Update the averages with a program that has ended."""
+        average_requests, average_seconds = self.get(route)
+        self._averages[route] = (
+            average_requests + LEARNING_RATE * (requests - average_requests),
+            average_seconds + LEARNING_RATE * (seconds - average_seconds),
         )
 
 
 class Account:
-    """One organisation's use of its limit, as counted in one place.
+    """One organisation's usage of its limit, as counted by its coordinator.
 
-    ``reserve`` requests of the limit are not given out: they may have been
-    used without a trace.
+    ``reserve`` requests of the limit are held back, since their usage may
+    have been lost.
     """
 
-    def __init__(self, window: float, needs: ProgramStatistics) -> None:
+    def __init__(self, window: float, statistics: ProgramStatistics) -> None:
         self.window = Window(window)
-        self._needs = needs
+        self._statistics = statistics
         self._programs: collections.OrderedDict[str, _Program] = (
             collections.OrderedDict()
         )
@@ -257,114 +256,119 @@
         self.last_used_at = float('-inf')
 
     def set_limit(self, limit: Limit, version: int) -> None:
-        """Take a limit over unless a newer one is known."""
+        """Set the limit unless a newer version of it is known."""
         if version >= self.version:
             self.limit = limit
             self.version = version
 
-    def record(self, asked: AdmissionRequest, count: int, now: float) -> None:
-        """Note requests of a program that were admitted elsewhere."""
+    def record(
+        self, request: AdmissionRequest, count: int, now: float
+    ) -> None:
+        """Record requests of a program that were admitted elsewhere."""
         self.last_used_at = now
-        if not asked.program:
+        if not request.program:
             return
-        program = self._programs.get(asked.program)
+        program = self._programs.get(request.program)
         if program is None:
-            program = _Program(asked.route, now)
-            self._programs[asked.program] = program
-            if len(self._programs) > MOST_PROGRAMS:
+            program = _Program(request.route, now)
+            self._programs[request.program] = program
+            if len(self._programs) > MAX_PROGRAMS:
                 self._programs.popitem(last=False)
-        program.route = program.route or asked.route
+        program.route = program.route or request.route
         program.last_used_at = now
         program.sent += count
-        self._programs.move_to_end(asked.program)
+        self._programs.move_to_end(request.program)
 
     def request_admission(
-        self, reporter: str, asked: AdmissionRequest, now: float
+        self, reporter: str, request: AdmissionRequest, now: float
     ) -> Decision:
-        """Admit a request, or refuse it."""
+        """Admit or refuse a request."""
         self._end_programs(now)
         used = self.window.count(now)
         limit = self.limit
-        room = limit.requests - self.reserve
-        program = self._programs.get(asked.program)
+        available = limit.requests - self.reserve
+        program = self._programs.get(request.program)
         if program is not None:
-            room += limit.overrun
-            kept = 0.0
+            available += limit.overrun
+            expected = 0.0
             if self._may_loop(program):
-                kept = self._find_expected(now, asked.program)
-            excess = used + kept + 1 - room
+                expected = self._estimate_expected(now, request.program)
+            excess = used + expected + 1 - available
             if excess <= 0:
-                return self._admit(reporter, asked, now)
+                return self._admit(reporter, request, now)
             retry_after = self.window.estimate_wait(now, excess)
             return Refused(
-                retry_after, used, round(kept), limit.requests, False
+                retry_after, used, round(expected), limit.requests, False
             )
-        return self._ask_new(reporter, asked, used, room, now)
+        return self._request_start(reporter, request, used, available, now)
 
     def is_near_limit(self, now: float) -> bool:
-        """Say whether the limit may be reached in a moment."""
-        recent = LOOKAHEAD * self.window.count(now, RECENT)
-        coming = max(recent, self._find_expected(now))
-        used = self.window.count(now) + coming
-        return used > CLOSE_SHARE * (self.limit.requests - self.reserve)
+        """Return whether usage may soon reach the limit.
+
+        If so, each request has to be admitted by the coordinator. Otherwise
+        instances admit requests and report them afterwards.
+        """
+        recent = LOOKAHEAD_FACTOR * self.window.count(now, RECENT_SECONDS)
+        expected = max(recent, self._estimate_expected(now))
+        used = self.window.count(now) + expected
+        return used > NEAR_LIMIT_RATIO * (self.limit.requests - self.reserve)
 
-    def _ask_new(
+    def _request_start(
         self,
         reporter: str,
-        asked: AdmissionRequest,
+        request: AdmissionRequest,
         used: int,
-        room: float,
+        available: float,
         now: float,
     ) -> Decision:
-        expected = self._find_expected(now)
-        need, time = self._needs.find(asked.route)
-        # By the middle of the program's time this much has left the window.
-        later = self.window.count(now, self.window.length - time / 2)
-        excess = later + expected + need - room
-        # Alone, a program may be short enough for the smallest limit.
-        is_alone = not expected and used + 1 <= room
-        if (excess <= 0 and used + 1 <= room) or is_alone:
-            return self._admit(reporter, asked, now)
+        """Admit or refuse the first request of a program."""
+        expected = self._estimate_expected(now)
+        requests, seconds = self._statistics.get(request.route)
+        # Usage that is still in the window after half of the program's time.
+        remaining = self.window.count(now, self.window.length - seconds / 2)
+        excess = remaining + expected + requests - available
+        # Otherwise no program could start if the limit is lower than the
+        # average number of requests.
+        is_only = not expected and used + 1 <= available
+        if (excess <= 0 and used + 1 <= available) or is_only:
+            return self._admit(reporter, request, now)
         retry_after = self.window.estimate_wait(now, excess)
         return Refused(
             retry_after, used, round(expected), self.limit.requests, True
         )
 
     def _admit(
-        self, reporter: str, asked: AdmissionRequest, now: float
+        self, reporter: str, request: AdmissionRequest, now: float
     ) -> Decision:
         self.window.add(reporter, now, 1)
-        self.record(asked, 1, now)
+        self.record(request, 1, now)
         return Admitted()
 
     def _may_loop(self, program: _Program) -> bool:
-        need, _ = self._needs.find(program.route)
-        return program.sent > max(SHORTEST_LOOP, LOOP_TIMES * need)
+        requests, _ = self._statistics.get(program.route)
+        return program.sent > max(MIN_LOOP_REQUESTS, LOOP_FACTOR * requests)
 
-    def _find_expected(self, now: float, but: str = '') -> float:
-        """Return the requests that programs under way may still send.
-
-        The program ``but`` is left out.
-        """
+    def _estimate_expected(self, now: float, excluded: str = '') -> float:
+        """Return the number of requests expected from running programs."""
         total = 0.0
         for name, program in reversed(self._programs.items()):
-            if now - program.last_used_at > PROGRAM_REST:
+            if now - program.last_used_at > PROGRAM_IDLE_SECONDS:
                 break
-            if name == but:
+            if name == excluded:
                 continue
-            need, _ = self._needs.find(program.route)
-            rest = LEAST_REST * max(need, program.sent)
-            total += max(need - program.sent, rest)
+            requests, _ = self._statistics.get(program.route)
+            minimum = MIN_EXPECTED_RATIO * max(requests, program.sent)
+            total += max(requests - program.sent, minimum)
         return total
 
     def _end_programs(self, now: float) -> None:
-        """Learn from the programs that have ended, and forget old ones."""
+        """Update the statistics and discard programs that have ended."""
         for name, program in list(self._programs.items()):
-            if now - program.last_used_at < PROGRAM_REST:
+            if now - program.last_used_at < PROGRAM_IDLE_SECONDS:
                 break
             if not program.is_learned:
                 program.is_learned = True
-                time = program.last_used_at - program.began
-                self._needs.learn(program.route, program.sent, time)
-            if now - program.last_used_at >= PROGRAM_MEMORY:
+                seconds = program.last_used_at - program.started_at
+                self._statistics.learn(program.route, program.sent, seconds)
+            if now - program.last_used_at >= PROGRAM_RETENTION_SECONDS:
                 del self._programs[name]
