--- a/libs/scheduling/vanillayoke/scheduling/order.py
+++ b/libs/scheduling/vanillayoke/scheduling/order.py
@@ -1,41 +1,39 @@
-"""The priority numbers that engines order their queues by."""
+"""Priority numbers of calls, by which engines order their queues."""
 
 import math
 
 from vanillayoke.scheduling import calls
 from vanillayoke.scheduling import policies
 
-_URGENT = -1000
+_URGENT_OFFSET = -1000
 _LEVELS_PER_DOUBLING = 4
-_LEAST_SERVICE = 0.02
-_MOST_SERVICE = 10.0
-"""Engine seconds between which service makes a difference to the order.
+_MIN_SERVICE_SECONDS = 0.02
+_MAX_SERVICE_SECONDS = 10.0
+"""Attained service is clipped to this range.
 
-Beyond the upper end programs are alike, so that one that loops does not
-go before all others for ever.
+The upper bound prevents a program in an endless loop from having precedence
+over all others for ever.
 """
 
 
 def find_priority(policy: policies.Order, demand: calls.CallDemand) -> int:
-    """Return a call's priority number, lower first.
+    """Return a call's priority number; lower numbers run first.
 
-    The number carries the order over all instances to the engine's queue,
-    so that no two instances need to agree on one. It is made of the service
-    of the whole tree, which is the same whoever reads it, and not of any
-    clock, which is not.
+    It depends on the attained service of the program tree and not on clocks,
+    so that it is comparable between instances without coordination.
     """
-    urgent = _URGENT if demand.urgent else 0
+    offset = _URGENT_OFFSET if demand.urgent else 0
     match policy:
         case policies.FirstCome():
-            return urgent
+            return offset
         case policies.AttainedService(most_first):
-            level = _find_level(demand.attained)
-            return urgent - level if most_first else urgent + level
+            level = _compute_level(demand.attained)
+            return offset - level if most_first else offset + level
 
 
-def _find_level(attained: float) -> int:
-    if attained <= _LEAST_SERVICE:
+def _compute_level(attained: float) -> int:
+    if attained <= _MIN_SERVICE_SECONDS:
         return 0
-    attained = min(attained, _MOST_SERVICE)
-    doublings = math.log2(attained / _LEAST_SERVICE)
+    attained = min(attained, _MAX_SERVICE_SECONDS)
+    doublings = math.log2(attained / _MIN_SERVICE_SECONDS)
     return 1 + int(doublings * _LEVELS_PER_DOUBLING)
--- a/libs/scheduling/vanillayoke/scheduling/policies.py
+++ b/libs/scheduling/vanillayoke/scheduling/policies.py
@@ -1,7 +1,7 @@
-"""The scheduling policies as data, built from the settings' names.
+"""Scheduling policies, selected by name in the settings.
 
-Each policy has a plain variant, so that the bench can switch one mechanism
-off and an operator can go back to it.
+Each policy has a simple variant, which benchmarks use for comparison and
+operators as a fallback.
 """
 
 import typing
@@ -10,11 +10,11 @@
 
 
 class ExpectedCompletion(typing.NamedTuple):
-    """Place by queue wait, missing prefix and distance.
+    """Place calls by queueing time, missing prefix and network distance.
 
-    ``choices`` targets are drawn at random beside the program's own.
-    ``recompute_weight`` is what a second of computing a prefix again costs
-    all calls of the batch, in seconds.
+    ``choices`` random targets are compared, in addition to the one that holds
+    the program's prefix. ``recompute_weight`` is the cost of computing a
+    prefix for one second, in seconds: it delays all calls of the batch.
     """
 
     choices: int = 2
@@ -22,33 +22,32 @@
 
 
 class LeastLoad(typing.NamedTuple):
-    """Place by load alone, out of ``choices`` targets drawn at random."""
+    """Place calls by load alone, out of ``choices`` random targets."""
 
     choices: int = 2
 
 
 class AttainedService(typing.NamedTuple):
-    """Order by the service that the whole program tree had so far.
+    """Order calls by the service that their program tree attained so far.
 
-    The most first: a program that was started ends sooner and gives its
-    memory up. The least first favours short programs, but among programs
-    that were admitted whole it kept the long ones in memory for longer, and
-    in the bench everybody then waited longer to start.
+    With ``most_first``, started programs end sooner and release their memory.
+    Otherwise short programs are favoured, but long ones occupy memory for
+    longer.
     """
 
     most_first: bool = True
 
 
 class FirstCome(typing.NamedTuple):
-    """Run calls in the order in which they arrive."""
+    """Run calls in the order of their arrival."""
 
 
 class WorkingSet(typing.NamedTuple):
-    """Start a program only where its conversation fits beside the others.
+    """Start a program only if its conversation fits into an engine's cache.
 
-    ``fill`` is the part of an engine's cache that may be promised,
-    ``depth`` the calls per batch slot up to which programs are started;
-    both widen for programs that have waited.
+    ``fill`` is the share of the cache that may be reserved, ``depth`` the
+    number of calls per slot up to which programs are started. Both grow with
+    the time that a program has waited.
     """
 
     fill: float = 0.75
@@ -60,18 +59,17 @@
 
 
 class LearnedReturn(typing.NamedTuple):
-    """Export memory when a tool is not expected back soon.
+    """Export a cached prefix if a tool call is expected to take long.
 
-    Only where other programs need the memory. Without ``exports``, for
-    engines that cannot, it is freed; the bench shows that to be worse than
-    to leave it to the engine's own eviction.
+    This happens only if other programs need the memory. Without ``exports``,
+    for engines that do not support it, the prefix is released instead.
     """
 
     exports: bool = True
 
 
 class KeepCache(typing.NamedTuple):
-    """Leave memory in a pause to the engine's own eviction."""
+    """Leave cached prefixes to the engine's own eviction."""
 
 
 Placement = ExpectedCompletion | LeastLoad
@@ -112,7 +110,7 @@
 
     @classmethod
     def from_config(cls, settings: configuration.PolicySettings) -> 'Policies':
-        """Look the settings' names up; ``KeyError`` for an unknown one."""
+        """Return the policies named in settings; ``KeyError`` if unknown."""
         return cls(
             PLACEMENTS[settings.placement],
             ORDERS[settings.order],
--- a/libs/scheduling/vanillayoke/scheduling/trees.py
+++ b/libs/scheduling/vanillayoke/scheduling/trees.py
@@ -1,14 +1,14 @@
-"""What a scheduler keeps of each program and its sub-agents."""
+"""The scheduler's state of programs and their sub-agents."""
 
 
 class Member:
     """One program of a tree: the root or a sub-agent.
 
     ``home`` is the target that last ran it, ``tokens`` the length of its
-    conversation there and ``cached`` the part believed to be in the
-    target's memory. ``exported`` tells that the memory was exported.
-    ``gaps`` is the target's count of lost events when ``cached`` was last
-    known for sure, ``touched_at`` when a call last began or ended.
+    conversation there and ``cached`` the part assumed to be in the target's
+    cache. ``exported`` means that this part was exported. ``gaps`` is the
+    target's count of event gaps when ``cached`` was last updated, and
+    ``touched_at`` the time when a call last started or ended.
     """
 
     __slots__ = (
@@ -32,7 +32,7 @@
 
 
 class Tree:
-    """A root program with its sub-agents; it is admitted whole."""
+    """A root program with its sub-agents, which are admitted together."""
 
     __slots__ = ('root', 'client', 'admitted', 'members')
 
@@ -44,14 +44,14 @@
 
 
 class Forest:
-    """All trees of one instance; an ended program leaves nothing here."""
+    """The trees of all running programs of one instance."""
 
     def __init__(self) -> None:
         self._trees: dict[str, Tree] = {}
         self._members: dict[str, Member] = {}
 
     def open(self, program: str, root: str, client: str) -> Member:
-        """Return a program's member, made where it is new."""
+        """Return a program's member, creating it if necessary."""
         member = self._members.get(program)
         if member is not None:
             return member
@@ -64,7 +64,7 @@
         return member
 
     def has_tree(self, root: str) -> bool:
-        """Tell whether a root or one of its sub-agents is known."""
+        """Return whether a member of a root program's tree is known."""
         return root in self._trees
 
     def get(self, program: str) -> Member | None:
@@ -76,7 +76,7 @@
         return list(self._members.values())
 
     def close(self, program: str) -> Member | None:
-        """Forget a program; return what was known of it."""
+        """Remove a program and return its member, if it is known."""
         member = self._members.pop(program, None)
         if member is None:
             return None
