--- a/libs/gateway/vanillayoke/gateway/verdict_news.py
+++ b/libs/gateway/vanillayoke/gateway/health_gossip.py
@@ -3,9 +3,9 @@
 import random
 
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
-from vanillayoke.gateway import notes as notes_module
+from vanillayoke.gateway import instrumentation as instrumentation_module
 from vanillayoke.gateway import peers as peers_module
+from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import shared_health as shared_health_module
 
 # How many others an instance tells of a verdict that is new to it: with four,
@@ -13,40 +13,40 @@
 FANOUT = 4
 
 
-class VerdictNews:
+class HealthGossip:
     """Tells a few others of each verdict; each tells a few more."""
 
     def __init__(
         self,
         instance: str,
         verdicts: shared_health_module.SharedHealth,
-        list_homes: homes_ranking.ListMembers,
+        list_eligible: rendezvous.ListPeers,
         timer_service: timers.TimerService,
         source: random.Random,
-        notes: notes_module.Notes,
+        instrumentation: instrumentation_module.Instrumentation,
     ) -> None:
         self._instance = instance
         self._verdicts = verdicts
-        self._list_homes = list_homes
+        self._list_eligible = list_eligible
         self._timers = timer_service
         self._source = source
-        self._notes = notes
+        self._instrumentation = instrumentation
         self._peers: peers_module.Peers | None = None
 
-    def use(self, peers: peers_module.Peers) -> None:
+    def set_peers(self, peers: peers_module.Peers) -> None:
         """Tell other instances through this from now on."""
         self._peers = peers
 
     def count_instances(self) -> int:
         """Return how many instances there are to agree."""
-        return len(self._list_homes())
+        return len(self._list_eligible())
 
     def publish(self, verdict: shared_health_module.HealthState) -> None:
         """Spread what this instance found out."""
-        self._notes.note_verdict(verdict)
+        self._instrumentation.record_health_state(verdict)
         self._spread(verdict)
 
-    def hear(self, verdict: shared_health_module.HealthState) -> None:
+    def receive(self, verdict: shared_health_module.HealthState) -> None:
         """Take what another instance tells; pass on what is new.
 
         A line is written only where it changes what this instance does.
@@ -57,15 +57,15 @@
         if merged is None:
             return
         if self._verdicts.is_unhealthy(verdict.target, count) != was_sick:
-            self._notes.note_verdict(merged)
+            self._instrumentation.record_health_state(merged)
         self._spread(merged)
 
     def _spread(self, verdict: shared_health_module.HealthState) -> None:
         others = [
             home.address
-            for home in self._list_homes()
+            for home in self._list_eligible()
             if home.instance != self._instance
         ]
         self._source.shuffle(others)
         if self._peers is not None:
-            self._peers.send_verdict(others[:FANOUT], verdict)
+            self._peers.send_health_state(others[:FANOUT], verdict)
--- a/libs/gateway/vanillayoke/gateway/sweeping.py
+++ b/libs/gateway/vanillayoke/gateway/sweeping.py
@@ -1,7 +1,8 @@
-"""Removing rows that nobody asks for any more, a little at a time.
+"""Incremental removal of expired rows from the store.
 
-Each part of the tables has one instance that sweeps it, the home of the
-part's name. Two that both think so remove the same rows once.
+Each partition of the tables is swept by its coordinator. If two instances
+both regard themselves as such, the conditions of the transactions prevent
+double removal.
 """
 
 import typing
@@ -11,23 +12,21 @@
 from vanillayoke.core import timers
 from vanillayoke.gateway import catalog as catalog_module
 from vanillayoke.gateway import histories
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import ledger
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import parts
+from vanillayoke.gateway import partitions
+from vanillayoke.gateway import rendezvous
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import grants
 from vanillayoke.programs import transcripts
 
-# In this time all parts are swept once. Rows lie for so long at the most
-# beyond their time. Seconds.
-ROUND = 600.0
-# Rows outlast what the routes promise by this factor and time: clocks
-# differ, and a program may be about to go on. Seconds.
+# The time in which all partitions are swept once.
+SWEEP_INTERVAL_SECONDS = 600.0
+# Rows are kept longer than the retention of the routes, since clocks differ
+# and a program may be about to continue.
 KEPT_TIMES = 2.0
 KEPT_MARGIN = 60.0
-# The most rows that one call removes.
 MOST_REMOVED = 50
 PATIENCE = 2.0
 
@@ -35,14 +34,14 @@
 
 
 class Sweeper:
-    """Sweeps the parts that are this instance's."""
+    """Sweeps the partitions that this instance coordinates."""
 
     def __init__(
         self,
         instance: str,
         store: store_module.StoreClient,
         catalog: catalog_module.Catalog,
-        list_members: homes_ranking.ListMembers,
+        list_members: rendezvous.ListPeers,
         timer_service: timers.TimerService,
     ) -> None:
         self._instance = instance
@@ -50,26 +49,28 @@
         self._catalog = catalog
         self._list_members = list_members
         self._timers = timer_service
-        self.removed = 0
+        self.removed_count = 0
 
     async def run(self) -> None:
-        """Sweep part after part until cancelled."""
+        """Sweep one partition after another until cancelled."""
         while True:
-            for index in range(parts.PART_COUNT):
-                await self._timers.sleep(ROUND / parts.PART_COUNT)
-                await self._visit(parts.name_part(index))
+            for index in range(partitions.PARTITION_COUNT):
+                await self._timers.sleep(
+                    SWEEP_INTERVAL_SECONDS / partitions.PARTITION_COUNT
+                )
+                await self._visit(partitions.name_partition(index))
 
     async def _visit(self, part: str) -> None:
-        home = homes_ranking.find_home(part, self._list_members())
+        home = rendezvous.find_coordinator(part, self._list_members())
         if home is None or home.instance != self._instance:
             return
-        if self._store.is_away or self._catalog.configuration is None:
+        if self._store.is_unavailable or self._catalog.configuration is None:
             return
         for table, read_time in _TABLES:
             try:
                 await self._sweep(table, part, read_time)
             except store_module.StoreError:
-                # The next round comes by again.
+                # The next sweep tries again.
                 return
 
     async def _sweep(
@@ -93,7 +94,7 @@
         )
         outcome = await self._store.transact(transaction, PATIENCE)
         if isinstance(outcome, messages.Committed):
-            self.removed += len(old)
+            self.removed_count += len(old)
 
     def _find_age(self) -> float:
         routes = self._catalog.configuration.routes
@@ -102,7 +103,7 @@
 
 
 def read_budget_time(value: bytes) -> float | None:
-    """Return when a budget's row was written; ``None`` if unreadable."""
+    """Return when a row was written; ``None`` if it can't be decoded."""
     try:
         return _BUDGETS.decode(value).time
     except msgspec.DecodeError:
@@ -110,7 +111,7 @@
 
 
 _TABLES = (
-    (histories.TABLE, transcripts.read_time),
+    (histories.TABLE, transcripts.decode_time),
     (ledger.TABLE, read_budget_time),
     (limit_accounts.TABLE, limit_accounts.read_time),
 )
