--- a/libs/emulator/vanillayoke/emulator/__init__.py
+++ b/libs/emulator/vanillayoke/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A model of engines and callers, to compare policies under load."""
+"""Simulation of engines and callers, to compare policies under load."""
--- a/libs/emulator/vanillayoke/emulator/emulation.py
+++ b/libs/emulator/vanillayoke/emulator/emulation.py
@@ -1,4 +1,4 @@
-"""Programs of many callers on model engines, event by event."""
+"""Discrete-event simulation of programs on simulated engines."""
 
 import collections
 import functools
@@ -14,27 +14,30 @@
 from vanillayoke.scheduling import occupancy
 from vanillayoke.scheduling import program_slack
 
-# Callers give a turn up that has not begun by then. Seconds.
-PATIENCE = 2.0
-# A turn without a place is tried again after this. Seconds.
-ROOM_PAUSE = 0.02
-# A program may be late by its whole aim once more; then nobody waits.
-MOST_AIMS = 2.0
+# Callers abandon turns that have not started within this time.
+START_TIMEOUT_SECONDS = 2.0
+PLACEMENT_RETRY_SECONDS = 0.02
+# Programs are abandoned after this multiple of their time limit.
+MAX_TIME_FACTOR = 2.0
 
 
 class Outcome(typing.NamedTuple):
-    """How one program ended; ``taken`` is ``None`` if it failed."""
+    """How one program ended; ``duration`` is ``None`` if it failed.
+
+    ``time_limit`` is the time that the program should take, called aim in
+    scenarios. ``earned`` is the part of ``worth`` that its duration yields.
+    """
 
     kind: str
-    began: float
-    aim: float
-    taken: float | None
+    started_at: float
+    time_limit: float
+    duration: float | None
     worth: float
     earned: float
 
 
-class Second(typing.NamedTuple):
-    """What all engines had at a moment, a slot."""
+class LoadSample(typing.NamedTuple):
+    """Running and waiting turns per slot, over all engines."""
 
     at: float
     fill: float
@@ -42,10 +45,10 @@
 
 
 class Played(typing.NamedTuple):
-    """What one policy made of one seed."""
+    """The results of one policy with one seed."""
 
     outcomes: list[Outcome]
-    seconds: list[Second]
+    samples: list[LoadSample]
     shed: int
     preempted: int
     turns: int
@@ -53,27 +56,27 @@
 
 class _Program:
     def __init__(
-        self, number: int, kind: scenarios.Kind, source: random.Random
+        self, number: int, kind: scenarios.Kind, rng: random.Random
     ) -> None:
         self.name = f'p{number}'
         self.kind = kind
-        # Geometric numbers of turns, exponential lengths.
-        self.tokens = [max(1.0, source.expovariate(1 / kind.tokens))]
-        while source.random() > 1 / kind.turns:
-            self.tokens.append(max(1.0, source.expovariate(1 / kind.tokens)))
+        # The number of turns is geometric, their lengths are exponential.
+        self.tokens = [max(1.0, rng.expovariate(1 / kind.tokens))]
+        while rng.random() > 1 / kind.turns:
+            self.tokens.append(max(1.0, rng.expovariate(1 / kind.tokens)))
         count = len(self.tokens)
         self.pauses = [
-            source.expovariate(1 / max(1e-9, kind.pause))
-            + source.expovariate(1 / max(1e-9, kind.tool))
+            rng.expovariate(1 / max(1e-9, kind.pause))
+            + rng.expovariate(1 / max(1e-9, kind.tool))
             + kind.way
             for _ in range(count)
         ]
         self.turn = 0
-        self.tries = 0
-        self.favourite: str | None = None
-        self.began = 0.0
-        self.aim = 0.0
-        self.clock: program_slack.DelayTracker | None = None
+        self.attempts = 0
+        self.last_engine: str | None = None
+        self.started_at = 0.0
+        self.time_limit = 0.0
+        self.delays: program_slack.DelayTracker | None = None
 
 
 class Emulation:
@@ -87,10 +90,9 @@
     ) -> None:
         self._scenario = scenario
         self._policy = policy
-        # Arrivals are alike under all policies; choices have a source of
-        # their own.
-        self._load = random.Random(f'load {seed}')
-        self._source = random.Random(f'choices {seed}')
+        # Separate generators, so that arrivals do not depend on the policy.
+        self._load_rng = random.Random(f'load {seed}')
+        self._choice_rng = random.Random(f'choices {seed}')
         self._engines = [
             engines_module.Engine(
                 f'e{n}', f'z{n % scenario.zones}', scenario.engines
@@ -101,239 +103,261 @@
             occupancy.Occupancy() for _ in range(scenario.instances)
         ]
         self._counts = load_counts.LoadCounts()
-        self._shares: dict[str, program_slack.IdleTimeRatio] = (
+        self._idle_ratios: dict[str, program_slack.IdleTimeRatio] = (
             collections.defaultdict(program_slack.IdleTimeRatio)
         )
         self._events: list = []
         self._numbers = itertools.count()
         self._outcomes: list[Outcome] = []
-        self._seconds: list[Second] = []
+        self._samples: list[LoadSample] = []
         self._shed = 0
         self._turns = 0
 
     def play(self) -> Played:
-        """Play until all programs have ended."""
-        self._plan()
+        """Run until all programs have ended."""
+        self._schedule_load()
         while self._events:
-            now, _, call = heapq.heappop(self._events)
-            call(now)
+            now, _, callback = heapq.heappop(self._events)
+            callback(now)
         return Played(
             self._outcomes,
-            self._seconds,
+            self._samples,
             self._shed,
-            sum(one.preempted for one in self._engines),
+            sum(engine.preempted for engine in self._engines),
             self._turns,
         )
 
-    def _at(self, when: float, call: typing.Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._numbers), call))
+    def _schedule(
+        self, at: float, callback: typing.Callable[[float], None]
+    ) -> None:
+        heapq.heappush(self._events, (at, next(self._numbers), callback))
 
     # Load
 
-    def _plan(self) -> None:
+    def _schedule_load(self) -> None:
         for kind in self._scenario.kinds:
-            self._plan_arrivals(kind)
+            self._schedule_arrivals(kind)
         for slow in self._scenario.slow:
-            self._at(slow.at, functools.partial(self._slow, slow, slow.times))
+            self._schedule(
+                slow.at, functools.partial(self._slow_down, slow, slow.times)
+            )
             end = slow.at + slow.seconds
-            self._at(end, functools.partial(self._slow, slow, 1.0))
+            self._schedule(end, functools.partial(self._slow_down, slow, 1.0))
         for second in range(int(self._scenario.seconds)):
-            self._at(second + 0.5, self._look)
+            self._schedule(second + 0.5, self._record_sample)
 
-    def _plan_arrivals(self, kind: scenarios.Kind) -> None:
+    def _schedule_arrivals(self, kind: scenarios.Kind) -> None:
         at = 0.0
         bursts = [
             burst
             for burst in self._scenario.bursts
             if burst.kind in ('', kind.name)
         ]
-        most = kind.rate
+        max_rate = kind.rate
         for burst in bursts:
-            most *= max(1.0, burst.times)
-        while most > 0:
-            at += self._load.expovariate(most)
+            max_rate *= max(1.0, burst.times)
+        while max_rate > 0:
+            at += self._load_rng.expovariate(max_rate)
             if at >= self._scenario.seconds:
                 return
             rate = kind.rate
             for burst in bursts:
                 if burst.at <= at < burst.at + burst.seconds:
                     rate *= burst.times
-            if self._load.random() < rate / most:
-                program = _Program(next(self._numbers), kind, self._load)
-                self._at(at, lambda now, p=program: self._begin(p, now))
+            if self._load_rng.random() < rate / max_rate:
+                program = _Program(next(self._numbers), kind, self._load_rng)
+                self._schedule(at, lambda now, p=program: self._start(p, now))
 
-    def _slow(self, slow: scenarios.Slow, times: float, now: float) -> None:
+    def _slow_down(
+        self, slow: scenarios.Slow, factor: float, now: float
+    ) -> None:
         for engine in self._engines[: slow.engines]:
-            engine.move(now)
-            engine.slowness = times
+            engine.advance(now)
+            engine.slowdown_factor = factor
             engine.version += 1
-            self._plan_end(engine)
+            self._schedule_end(engine)
 
-    def _look(self, now: float) -> None:
-        slots = sum(one.slots for one in self._engines)
-        running = sum(len(one.running) for one in self._engines)
-        waiting = sum(len(one.waiting) for one in self._engines)
-        self._seconds.append(Second(now, running / slots, waiting / slots))
+    def _record_sample(self, now: float) -> None:
+        slots = sum(engine.slots for engine in self._engines)
+        running = sum(len(engine.running) for engine in self._engines)
+        waiting = sum(len(engine.waiting) for engine in self._engines)
+        self._samples.append(LoadSample(now, running / slots, waiting / slots))
 
     # Programs
 
-    def _begin(self, program: _Program, now: float) -> None:
+    def _start(self, program: _Program, now: float) -> None:
         kind, sizes = program.kind, self._scenario.engines
         token = (sizes.step_ms + sizes.slot_ms) / 1000
         prefill = kind.prompt / sizes.prefill_per_ms / 1000
         idle = sum(program.tokens) * token
         idle += len(program.tokens) * prefill + sum(program.pauses)
-        program.began = now
-        program.aim = kind.aim_factor * idle + kind.aim_extra
-        program.clock = program_slack.DelayTracker(
-            program.name, now, program.aim
+        program.started_at = now
+        program.time_limit = kind.aim_factor * idle + kind.aim_extra
+        program.delays = program_slack.DelayTracker(
+            program.name, now, program.time_limit
         )
         self._send(program, now)
 
     def _send(self, program: _Program, now: float) -> None:
-        """Begin the next turn at whichever instance its caller has."""
+        """Start the next turn at a random instance."""
         self._turns += 1
-        view = self._source.choice(self._views)
-        left = program.aim - (now - program.began)
-        program.clock.start_turn(program.name, now, left)
+        view = self._choice_rng.choice(self._views)
+        left = program.time_limit - (now - program.started_at)
+        program.delays.start_turn(program.name, now, left)
         self._place(program, view, now, now, frozenset())
 
     def _place(
         self,
         program: _Program,
         view: occupancy.Occupancy,
-        asked: float,
+        requested_at: float,
         now: float,
-        passed: frozenset[str],
+        excluded: frozenset[str],
     ) -> None:
-        if now - program.began > MOST_AIMS * program.aim:
+        if now - program.started_at > MAX_TIME_FACTOR * program.time_limit:
             self._end(program, now, None)
             return
         zone = f'z{self._views.index(view) % self._scenario.zones}'
-        place = policies.Place(
-            self._engines, view, self._counts, program.favourite, zone,
-            passed, self._source.random,
+        context = policies.PlacementContext(
+            self._engines, view, self._counts, program.last_engine, zone,
+            excluded, self._choice_rng.random,
         )  # fmt: skip
-        engine = policies.choose(self._policy.placement, place, now)
+        engine = policies.choose(self._policy.placement, context, now)
         if engine is None:
-            again = now + ROOM_PAUSE
-            self._at(
-                again,
-                lambda at: self._place(program, view, asked, at, frozenset()),
+            retry_at = now + PLACEMENT_RETRY_SECONDS
+            self._schedule(
+                retry_at,
+                lambda at: self._place(
+                    program, view, requested_at, at, frozenset()
+                ),
             )
             return
-        run = self._make_run(program, now)
-        if not engine.add(run, now):
+        execution = self._make_execution(program, now)
+        if not engine.add(execution, now):
             self._shed += 1
             view.record_shed(engine.name, now)
-            self._place(program, view, asked, now, passed | {engine.name})
+            self._place(
+                program, view, requested_at, now, excluded | {engine.name}
+            )
             return
-        request = f'{program.name}.{program.turn}.{program.tries}'
+        request = f'{program.name}.{program.turn}.{program.attempts}'
         view.begin(engine.name)
-        until = now + MOST_AIMS * program.aim
-        self._counts.begin(engine.name, request, until, now)
-        run.turn = (program, view, asked, request)
-        self._plan_end(engine)
-        self._at(now + PATIENCE, lambda at: self._give_up(engine, run, at))
-
-    def _make_run(self, program: _Program, now: float) -> engines_module.Run:
-        share = self._shares[program.kind.name].value
-        slack = program.clock.estimate_slack(program.name, now, share)
-        level = policies.rank(self._policy.order, slack, program.kind.priority)
+        deadline = now + MAX_TIME_FACTOR * program.time_limit
+        self._counts.begin(engine.name, request, deadline, now)
+        execution.turn = (program, view, requested_at, request)
+        self._schedule_end(engine)
+        self._schedule(
+            now + START_TIMEOUT_SECONDS,
+            lambda at: self._abandon(engine, execution, at),
+        )
+
+    def _make_execution(
+        self, program: _Program, now: float
+    ) -> engines_module.Execution:
+        idle_ratio = self._idle_ratios[program.kind.name].value
+        slack = program.delays.estimate_slack(program.name, now, idle_ratio)
+        level = policies.get_level(
+            self._policy.order, slack, program.kind.priority
+        )
         sizes = self._scenario.engines
         prefill = program.kind.prompt / sizes.prefill_per_ms / sizes.step_ms
-        return engines_module.Run(
+        return engines_module.Execution(
             None, level, program.tokens[program.turn], prefill
         )
 
-    def _plan_end(self, engine: engines_module.Engine) -> None:
-        planned = engine.find_next_end()
-        if planned is None:
+    def _schedule_end(self, engine: engines_module.Engine) -> None:
+        next_end = engine.get_next_end()
+        if next_end is None:
             return
-        at, run = planned
+        at, execution = next_end
         version = engine.version
 
         def finish(now: float) -> None:
             if engine.version == version:
-                self._finish(engine, run, now)
+                self._finish(engine, execution, now)
 
-        self._at(at, finish)
+        self._schedule(at, finish)
 
     def _leave(
         self,
         engine: engines_module.Engine,
-        run: engines_module.Run,
+        execution: engines_module.Execution,
         now: float,
     ) -> None:
-        program, view, _, request = run.turn
+        program, view, _, request = execution.turn
         load = occupancy.LoadReport(
             len(engine.running), len(engine.waiting), engine.slots
         )
-        engine.remove(run, now)
+        engine.remove(execution, now)
         view.record_report(engine.name, load, now)
         view.end(engine.name)
         self._counts.end(engine.name, request, None, None, now)
-        self._plan_end(engine)
+        self._schedule_end(engine)
 
     def _finish(
         self,
         engine: engines_module.Engine,
-        run: engines_module.Run,
+        execution: engines_module.Execution,
         now: float,
     ) -> None:
-        program, _, asked, _ = run.turn
-        self._leave(engine, run, now)
-        usual = self._find_usual(program)
-        lost = max(0.0, now - asked - usual)
-        program.clock.record_delay(program.name, lost, now)
-        program.favourite = engine.name
+        program, _, requested_at, _ = execution.turn
+        self._leave(engine, execution, now)
+        typical = self._compute_typical_time(program)
+        delay = max(0.0, now - requested_at - typical)
+        program.delays.record_delay(program.name, delay, now)
+        program.last_engine = engine.name
         pause = program.pauses[program.turn]
         program.turn += 1
-        program.tries = 0
+        program.attempts = 0
         if program.turn == len(program.tokens):
-            self._end(program, now + pause, now + pause - program.began)
+            self._end(program, now + pause, now + pause - program.started_at)
         else:
-            self._at(now + pause, lambda at: self._send(program, at))
+            self._schedule(now + pause, lambda at: self._send(program, at))
 
-    def _find_usual(self, program: _Program) -> float:
+    def _compute_typical_time(self, program: _Program) -> float:
         sizes = self._scenario.engines
         token = (sizes.step_ms + sizes.slot_ms) / 1000
         prefill = program.kind.prompt / sizes.prefill_per_ms / 1000
         return program.tokens[program.turn] * token + prefill
 
-    def _give_up(
+    def _abandon(
         self,
         engine: engines_module.Engine,
-        run: engines_module.Run,
+        execution: engines_module.Execution,
         now: float,
     ) -> None:
-        """End a turn that has not begun; its caller tries twice more."""
-        if run.began or run not in engine.waiting:
+        """Remove a turn that has not started; the caller retries it twice."""
+        if execution.has_started or execution not in engine.waiting:
             return
-        program, _, asked, _ = run.turn
-        self._leave(engine, run, now)
-        program.clock.record_delay(program.name, now - asked, now)
-        program.tries += 1
-        if program.tries > 2:
+        program, _, requested_at, _ = execution.turn
+        self._leave(engine, execution, now)
+        program.delays.record_delay(program.name, now - requested_at, now)
+        program.attempts += 1
+        if program.attempts > 2:
             self._end(program, now, None)
         else:
-            self._at(now + 0.25, lambda at: self._send(program, at))
+            self._schedule(now + 0.25, lambda at: self._send(program, at))
 
-    def _end(self, program: _Program, now: float, taken: float | None) -> None:
+    def _end(
+        self, program: _Program, now: float, duration: float | None
+    ) -> None:
         kind = program.kind
         earned = 0.0
-        if taken is not None and taken <= program.aim:
+        if duration is not None and duration <= program.time_limit:
             earned = kind.worth
-        elif taken is not None and taken <= MOST_AIMS * program.aim:
+        elif (
+            duration is not None
+            and duration <= MAX_TIME_FACTOR * program.time_limit
+        ):
             earned = kind.late_worth
-        program.clock.last_active_at = now
-        self._shares[kind.name].learn(program.clock)
+        program.delays.last_active_at = now
+        self._idle_ratios[kind.name].learn(program.delays)
         self._outcomes.append(
             Outcome(
                 kind.name,
-                program.began,
-                program.aim,
-                taken,
+                program.started_at,
+                program.time_limit,
+                duration,
                 kind.worth,
                 earned,
             )  # fmt: skip
--- a/libs/emulator/vanillayoke/emulator/engines.py
+++ b/libs/emulator/vanillayoke/emulator/engines.py
@@ -1,12 +1,15 @@
-"""A model engine: continuous batching, admission by urgency, preemption."""
+"""Simulated engine with continuous batching, urgency levels and preemption."""
 
 import typing
 
 from vanillayoke.emulator import scenarios
 
 
-class Run:
-    """A turn at an engine; ``left`` counts tokens and prefill as tokens."""
+class Execution:
+    """A turn at an engine.
+
+    ``left`` is the remaining work, with the prefill converted to tokens.
+    """
 
     def __init__(
         self, turn: typing.Any, urgency: int, work: float, prefill: float
@@ -15,84 +18,86 @@
         self.urgency = urgency
         self.prefill = prefill
         self.left = work + prefill
-        self.began = False
+        self.has_started = False
 
 
 class Engine:
-    """One engine; time moves on when it is told so."""
+    """One engine; ``advance`` moves its time forward."""
 
     def __init__(self, name: str, zone: str, sizes: scenarios.Engines) -> None:
         self.name = name
         self.zone = zone
         self.slots = sizes.slots
         self._sizes = sizes
-        self.slowness = 1.0
-        self.running: list[Run] = []
-        self.waiting: list[Run] = []
-        self._moved_at = 0.0
-        # Changes with each change of the batch: a planned end of before is
-        # void then.
+        self.slowdown_factor = 1.0
+        self.running: list[Execution] = []
+        self.waiting: list[Execution] = []
+        self._advanced_to = 0.0
+        # Changes with each change of the batch, which invalidates scheduled
+        # ends of turns.
         self.version = 0
         self.preempted = 0
 
     @property
     def load(self) -> int:
-        """The requests that run or wait."""
+        """The number of running and waiting turns."""
         return len(self.running) + len(self.waiting)
 
-    def move(self, now: float) -> None:
-        """Let the running turns make progress until now."""
+    def advance(self, now: float) -> None:
+        """Let the running turns progress until now."""
         if self.running:
-            done = (now - self._moved_at) / self._token_time()
-            for run in self.running:
-                run.left -= done
-        self._moved_at = now
+            tokens = (now - self._advanced_to) / self._compute_token_time()
+            for execution in self.running:
+                execution.left -= tokens
+        self._advanced_to = now
 
-    def add(self, run: Run, now: float) -> bool:
-        """Take a turn; say if there was room for it to wait."""
+    def add(self, execution: Execution, now: float) -> bool:
+        """Queue a turn; return whether the queue had room for it."""
         if len(self.waiting) >= self._sizes.queue:
             return False
-        self.move(now)
-        self.waiting.append(run)
+        self.advance(now)
+        self.waiting.append(execution)
         self._admit()
         return True
 
-    def remove(self, run: Run, now: float) -> None:
-        """Drop a turn, done or given up."""
-        self.move(now)
-        for runs in (self.running, self.waiting):
-            if run in runs:
-                runs.remove(run)
+    def remove(self, execution: Execution, now: float) -> None:
+        """Remove a completed or abandoned turn."""
+        self.advance(now)
+        for executions in (self.running, self.waiting):
+            if execution in executions:
+                executions.remove(execution)
         self._admit()
 
-    def find_next_end(self) -> tuple[float, Run] | None:
-        """Return when a running turn ends, and which."""
+    def get_next_end(self) -> tuple[float, Execution] | None:
+        """Return the end of the running turn that ends first, and the turn."""
         if not self.running:
             return None
-        run = min(self.running, key=lambda one: one.left)
-        taken = max(0.0, run.left) * self._token_time()
-        return self._moved_at + taken, run
+        execution = min(self.running, key=lambda candidate: candidate.left)
+        duration = max(0.0, execution.left) * self._compute_token_time()
+        return self._advanced_to + duration, execution
 
-    def _token_time(self) -> float:
+    def _compute_token_time(self) -> float:
         batch = len(self.running)
         token = self._sizes.step_ms + self._sizes.slot_ms * batch
-        return token * self.slowness / 1000
+        return token * self.slowdown_factor / 1000
 
     def _admit(self) -> None:
-        """Admit the most urgent, which may push out the least urgent."""
+        """Start the most urgent turns, preempting the least urgent ones."""
         self.version += 1
-        self.waiting.sort(key=lambda run: run.urgency)
+        self.waiting.sort(key=lambda execution: execution.urgency)
         while self.waiting:
             first = self.waiting[0]
             if len(self.running) >= self.slots:
-                last = max(self.running, key=lambda run: run.urgency)
+                last = max(
+                    self.running, key=lambda execution: execution.urgency
+                )
                 if last.urgency <= first.urgency:
                     return
                 self.running.remove(last)
-                # What was read of its prompt is read again.
+                # Its prompt has to be processed again.
                 last.left += last.prefill
                 self.waiting.append(last)
                 self.preempted += 1
             self.waiting.remove(first)
-            first.began = True
+            first.has_started = True
             self.running.append(first)
--- a/libs/emulator/vanillayoke/emulator/policies.py
+++ b/libs/emulator/vanillayoke/emulator/policies.py
@@ -1,4 +1,4 @@
-"""How turns are placed and ordered, as data; the product's way and others."""
+"""Policies for placing and ordering turns: the product's and simple ones."""
 
 import typing
 
@@ -10,41 +10,41 @@
 
 
 class Counted(typing.NamedTuple):
-    """The emptiest of a few, by counts kept at the engines' homes."""
+    """The least loaded of a few engines, by their coordinators' counts."""
 
 
 class Reported(typing.NamedTuple):
-    """By what engines reported to the one instance that chooses."""
+    """The least loaded engine by the load reports to one instance."""
 
 
 class Sticky(typing.NamedTuple):
-    """The engine that the session had last, else any."""
+    """The engine of the session's previous turn, else a random engine."""
 
 
 class Drawn(typing.NamedTuple):
-    """Any engine."""
+    """A random engine."""
 
 
 class Exact(typing.NamedTuple):
-    """The emptiest of all at this very moment: no system can know it."""
+    """The least loaded of all engines, by their true load at this time."""
 
 
 Placement = Counted | Reported | Sticky | Drawn | Exact
 
 
 class BySlack(typing.NamedTuple):
-    """What a program may still lose decides, as in the product."""
+    """By the urgency level that follows from the program's slack."""
 
 
 class FirstCome(typing.NamedTuple):
-    """Turns are served as they come."""
+    """In the order of arrival."""
 
 
 Order = BySlack | FirstCome
 
 
 class Policy(typing.NamedTuple):
-    """A way to place turns and a way to order them."""
+    """A placement policy and an order policy."""
 
     placement: Placement
     order: Order
@@ -61,83 +61,112 @@
 }
 
 
-class Place(typing.NamedTuple):
-    """What a choice can see."""
+class PlacementContext(typing.NamedTuple):
+    """The input of a placement decision."""
 
     engines: typing.Sequence[engines_module.Engine]
-    view: occupancy.Occupancy
+    occupancy: occupancy.Occupancy
     counts: load_counts.LoadCounts
-    favourite: str | None
+    affinity_target: str | None
     zone: str
-    passed: frozenset[str]
-    draw: typing.Callable[[], float]
+    excluded: frozenset[str]
+    random_float: typing.Callable[[], float]
 
 
 def choose(
-    placement: Placement, place: Place, now: float
+    placement: Placement, context: PlacementContext, now: float
 ) -> engines_module.Engine | None:
     """Return the engine for a turn, ``None`` if none has room."""
-    usable = [one for one in place.engines if one.name not in place.passed]
+    usable = [
+        engine
+        for engine in context.engines
+        if engine.name not in context.excluded
+    ]
     if not usable:
         return None
     match placement:
         case Counted() | Reported():
-            return _choose_as_product(placement, place, now)
+            return _choose_like_product(placement, context, now)
         case Sticky():
-            for one in usable:
-                if one.name == place.favourite:
-                    return one
-            return usable[int(place.draw() * len(usable))]
+            for engine in usable:
+                if engine.name == context.affinity_target:
+                    return engine
+            return usable[int(context.random_float() * len(usable))]
         case Drawn():
-            return usable[int(place.draw() * len(usable))]
+            return usable[int(context.random_float() * len(usable))]
         case Exact():
-            return min(usable, key=lambda one: one.load)
+            return min(usable, key=lambda engine: engine.load)
 
 
-def _choose_as_product(
-    placement: Placement, place: Place, now: float
+def _choose_like_product(
+    placement: Placement, context: PlacementContext, now: float
 ) -> engines_module.Engine | None:
-    places = [
-        occupancy.Candidate(one.name, one.slots, one.zone)
-        for one in place.engines
+    candidates = [
+        occupancy.Candidate(engine.name, engine.slots, engine.zone)
+        for engine in context.engines
     ]
-    wish = occupancy.PlacementCriteria(place.favourite, place.zone)
+    criteria = occupancy.PlacementCriteria(
+        context.affinity_target, context.zone
+    )
     if isinstance(placement, Reported):
-        found = occupancy.choose_by_own_view(
-            places, place.view, wish, place.passed, now, place.draw
+        chosen = occupancy.choose_by_own_view(
+            candidates,
+            context.occupancy,
+            criteria,
+            context.excluded,
+            now,
+            context.random_float,
         )
     else:
-        found = _choose_by_counts(places, wish, place, now)
-    if found is None:
+        chosen = _choose_by_counts(candidates, criteria, context, now)
+    if chosen is None:
         return None
-    return next(one for one in place.engines if one.name == found.name)
+    return next(
+        engine for engine in context.engines if engine.name == chosen.name
+    )
 
 
 def _choose_by_counts(
-    places: list[occupancy.Candidate],
-    wish: occupancy.PlacementCriteria,
-    place: Place,
+    candidates: list[occupancy.Candidate],
+    criteria: occupancy.PlacementCriteria,
+    context: PlacementContext,
     now: float,
 ) -> occupancy.Candidate | None:
-    near, far = occupancy.choose_candidates(
-        places, place.view, wish, place.passed, now, place.draw
+    local, remote = occupancy.choose_candidates(
+        candidates,
+        context.occupancy,
+        criteria,
+        context.excluded,
+        now,
+        context.random_float,
     )
-    loads = {one.name: place.counts.get_load(one.name, now) for one in near}
+    loads = {
+        engine.name: context.counts.get_load(engine.name, now)
+        for engine in local
+    }
     best = occupancy.choose_least_loaded(
-        near, loads, place.view, wish, now, place.draw
+        local, loads, context.occupancy, criteria, now, context.random_float
     )
     if best is not None and occupancy.is_lightly_loaded(
-        best, loads, place.view, wish
+        best, loads, context.occupancy, criteria
     ):
         return best
-    loads |= {one.name: place.counts.get_load(one.name, now) for one in far}
+    loads |= {
+        engine.name: context.counts.get_load(engine.name, now)
+        for engine in remote
+    }
     return occupancy.choose_least_loaded(
-        [*near, *far], loads, place.view, wish, now, place.draw
+        [*local, *remote],
+        loads,
+        context.occupancy,
+        criteria,
+        now,
+        context.random_float,
     )
 
 
-def rank(order: Order, slack: program_slack.Slack, priority: int) -> int:
-    """Return the urgency that an engine is told."""
+def get_level(order: Order, slack: program_slack.Slack, priority: int) -> int:
+    """Return the urgency level that is sent to an engine."""
     match order:
         case BySlack():
             return urgency.get_level(slack, priority)
--- a/libs/emulator/vanillayoke/emulator/reports.py
+++ b/libs/emulator/vanillayoke/emulator/reports.py
@@ -1,4 +1,4 @@
-"""Figures of an emulation over seeds, as a table and as one HTML page."""
+"""Reports on emulations: statistics over seeds as a table and HTML page."""
 
 import html
 import math
@@ -25,7 +25,7 @@
 
 
 class Row(typing.NamedTuple):
-    """How one policy did."""
+    """The figures of one policy."""
 
     policy: str
     worth: Figure
@@ -44,13 +44,13 @@
     'failed',
     'p50 time/aim',
     'p95 time/aim',
-    'shed a turn',
-    'preempted a turn',
+    'shed per turn',
+    'preempted per turn',
 )
 
 
 def make_figure(values: typing.Sequence[float]) -> Figure:
-    """Return the mean of a figure over seeds and its interval."""
+    """Return the mean of values and its confidence interval."""
     mean = statistics.fmean(values)
     if len(values) < 2:
         return Figure(mean, math.nan)
@@ -58,54 +58,70 @@
     return Figure(mean, 1.96 * error)
 
 
-def make_row(policy: str, played: typing.Sequence[emulation.Played]) -> Row:
+def make_row(policy: str, results: typing.Sequence[emulation.Played]) -> Row:
     """Return the figures of a policy."""
     return Row(
         policy,
-        make_figure([_find_worth(one) for one in played]),
-        make_figure([_find_share(one, _is_in_time) for one in played]),
-        make_figure([_find_share(one, _has_failed) for one in played]),
-        make_figure([_find_quantile(one, 0.5) for one in played]),
-        make_figure([_find_quantile(one, 0.95) for one in played]),
-        make_figure([one.shed / max(1, one.turns) for one in played]),
-        make_figure([one.preempted / max(1, one.turns) for one in played]),
+        make_figure([_compute_worth(result) for result in results]),
+        make_figure(
+            [_compute_share(result, _is_in_time) for result in results]
+        ),
+        make_figure(
+            [_compute_share(result, _has_failed) for result in results]
+        ),
+        make_figure([_compute_quantile(result, 0.5) for result in results]),
+        make_figure([_compute_quantile(result, 0.95) for result in results]),
+        make_figure(
+            [result.shed / max(1, result.turns) for result in results]
+        ),
+        make_figure(
+            [result.preempted / max(1, result.turns) for result in results]
+        ),
     )
 
 
-def _find_worth(played: emulation.Played) -> float:
-    owed = sum(one.worth for one in played.outcomes)
-    return sum(one.earned for one in played.outcomes) / owed if owed else 0.0
+def _compute_worth(result: emulation.Played) -> float:
+    total = sum(outcome.worth for outcome in result.outcomes)
+    return (
+        sum(outcome.earned for outcome in result.outcomes) / total
+        if total
+        else 0.0
+    )
 
 
-def _find_share(
-    played: emulation.Played,
-    holds: typing.Callable[[emulation.Outcome], bool],
+def _compute_share(
+    result: emulation.Played,
+    predicate: typing.Callable[[emulation.Outcome], bool],
 ) -> float:
-    return sum(map(holds, played.outcomes)) / max(1, len(played.outcomes))
+    return sum(map(predicate, result.outcomes)) / max(1, len(result.outcomes))
 
 
-def _is_in_time(one: emulation.Outcome) -> bool:
-    return one.taken is not None and one.taken <= one.aim
+def _is_in_time(outcome: emulation.Outcome) -> bool:
+    return (
+        outcome.duration is not None and outcome.duration <= outcome.time_limit
+    )
 
 
-def _has_failed(one: emulation.Outcome) -> bool:
-    return one.taken is None
+def _has_failed(outcome: emulation.Outcome) -> bool:
+    return outcome.duration is None
 
 
-def _find_quantile(played: emulation.Played, share: float) -> float:
-    """Return a quantile of time over aim; failed programs count as endless.
+def _compute_quantile(result: emulation.Played, quantile: float) -> float:
+    """Return a quantile of the programs' durations over their time limits.
 
-    Two aims stand for endless: a program of twice its aim earns nothing.
+    The ratio is clipped to 2, which also stands for failed programs.
     """
     ratios = sorted(
-        min(2.0, one.taken / one.aim) if one.taken is not None else 2.0
-        for one in played.outcomes
+        min(2.0, outcome.duration / outcome.time_limit)
+        if outcome.duration is not None
+        else 2.0
+        for outcome in result.outcomes
     )
-    return ratios[int(share * (len(ratios) - 1))] if ratios else 0.0
+    return ratios[int(quantile * (len(ratios) - 1))] if ratios else 0.0
 
 
 def format_table(rows: typing.Sequence[Row]) -> str:
-    """Return the rows as text in columns."""
+    """Return the rows as a text table."""
     cells = [TITLES, *(tuple(str(cell) for cell in row) for row in rows)]
     widths = [max(len(row[n]) for row in cells) for n in range(len(TITLES))]
     lines = []
@@ -118,16 +134,19 @@
 def render_page(
     scenario: scenarios.Scenario,
     rows: typing.Sequence[Row],
-    played: typing.Mapping[str, typing.Sequence[emulation.Played]],
+    results: typing.Mapping[str, typing.Sequence[emulation.Played]],
 ) -> str:
-    """Return one HTML page with the table and plots over time."""
+    """Return an HTML page with the table and plots over time."""
     in_time = {
-        name: _make_series(list(ones), scenario.seconds)
-        for name, ones in played.items()
+        name: _make_series(list(runs), scenario.seconds)
+        for name, runs in results.items()
+    }
+    fill = {
+        name: _average_samples(runs, 'fill') for name, runs in results.items()
     }
-    fill = {name: _read_fill(ones, 'fill') for name, ones in played.items()}
     waiting = {
-        name: _read_fill(ones, 'waiting') for name, ones in played.items()
+        name: _average_samples(runs, 'waiting')
+        for name, runs in results.items()
     }
     parts = [
         f'<title>{html.escape(scenario.name)}</title>',
@@ -139,33 +158,33 @@
         ' means with 95% intervals.</p>',
         _render_rows(rows),
         _render_plot(
-            'Programs in time, by the second of their begin', in_time
+            'Programs in time, by the second of their start', in_time
         ),
-        _render_plot('Slots taken', fill),
-        _render_plot('Turns waiting a slot', waiting),
+        _render_plot('Slots in use', fill),
+        _render_plot('Waiting turns per slot', waiting),
     ]
     return '<!doctype html><meta charset="utf-8">' + '\n'.join(parts)
 
 
 def _make_series(
-    played: list[emulation.Played], seconds: float
+    results: list[emulation.Played], seconds: float
 ) -> list[float]:
-    """Return the share of programs in time for each second of beginning."""
+    """Return the share of programs in time, by the second of their start."""
     good = [0] * (int(seconds) + 1)
     all_ = [0] * (int(seconds) + 1)
-    for one in played:
-        for outcome in one.outcomes:
-            all_[int(outcome.began)] += 1
-            good[int(outcome.began)] += _is_in_time(outcome)
+    for result in results:
+        for outcome in result.outcomes:
+            all_[int(outcome.started_at)] += 1
+            good[int(outcome.started_at)] += _is_in_time(outcome)
     return [g / a if a else 1.0 for g, a in zip(good, all_, strict=True)][:-1]
 
 
-def _read_fill(
-    played: typing.Sequence[emulation.Played], field: str
+def _average_samples(
+    results: typing.Sequence[emulation.Played], field: str
 ) -> list[float]:
-    columns = zip(*(one.seconds for one in played), strict=True)
+    columns = zip(*(result.samples for result in results), strict=True)
     return [
-        statistics.fmean(getattr(second, field) for second in column)
+        statistics.fmean(getattr(sample, field) for sample in column)
         for column in columns
     ]
 
--- a/libs/emulator/vanillayoke/emulator/scenarios.py
+++ b/libs/emulator/vanillayoke/emulator/scenarios.py
@@ -1,6 +1,6 @@
-"""What an emulation plays: a JSON file with comments, checked field by field.
+"""Scenarios of emulations, read from JSON files with comments.
 
-Times are in seconds unless a name ends in ``_ms``; rates are a second.
+Times are in seconds unless a name ends in ``_ms``; rates are per second.
 """
 
 import typing
@@ -10,14 +10,15 @@
 
 
 class ScenarioError(Exception):
-    """A scenario can't be played; the text names file and field."""
+    """A scenario is invalid; the message names the file and the field."""
 
 
 class Engines(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The model engines, all alike.
+    """The simulated engines, which are identical.
 
-    A token takes ``step_ms`` and ``slot_ms`` more for each request of the
-    batch; ``prefill_per_ms`` tokens of a prompt are read in a millisecond.
+    Each token takes ``step_ms`` plus ``slot_ms`` for each request of the
+    batch. ``prefill_per_ms`` tokens of a prompt are processed per
+    millisecond.
     """
 
     count: int
@@ -29,11 +30,12 @@
 
 
 class Kind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A kind of programs; means of what is drawn for each.
+    """A kind of programs; numbers are means of random values per program.
 
-    A program should end within ``aim_factor`` times its time on idle engines
-    and ``aim_extra``; it earns ``worth`` then and ``late_worth`` within twice
-    that.
+    A program's time limit is ``aim_factor`` times its duration on idle
+    engines plus ``aim_extra``. It earns ``worth`` if it ends within the limit
+    and ``late_worth`` if it ends within twice the limit. ``way`` is the
+    network delay per turn.
     """
 
     name: str
@@ -52,7 +54,10 @@
 
 
 class Burst(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """For a while ``times`` as many programs begin."""
+    """A period in which ``times`` as many programs start.
+
+    It applies to programs of one kind, or of all if ``kind`` is empty.
+    """
 
     at: float
     seconds: float
@@ -61,7 +66,7 @@
 
 
 class Slow(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """For a while some engines take ``times`` as long."""
+    """A period in which some engines take ``times`` as long."""
 
     at: float
     seconds: float
@@ -70,7 +75,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Sizes, load, faults, and what is compared."""
+    """The engines, load and faults of an emulation, and its policies."""
 
     name: str
     instances: int
@@ -88,35 +93,41 @@
 
 
 def read_scenario(path: str) -> Scenario:
-    """Return the scenario in a file; raise ``ScenarioError``."""
+    """Read a scenario from a file.
+
+    Raise ``ScenarioError`` if it can't be read or is invalid.
+    """
     try:
         with open(path, encoding='utf-8') as file:
             content = pyjson5.decode(file.read())
-        found = msgspec.convert(content, Scenario)
+        scenario = msgspec.convert(content, Scenario)
     except OSError as error:
         raise ScenarioError(f'{path}: {error.strerror}') from error
     except pyjson5.Json5Exception as error:
         raise ScenarioError(f'{path}: {error.message}') from error
     except msgspec.ValidationError as error:
         raise ScenarioError(f'{path}: {error}') from error
-    for fault in list_faults(found):
+    for fault in list_faults(scenario):
         raise ScenarioError(f'{path}: {fault}')
-    return found
+    return scenario
 
 
 def list_faults(scenario: Scenario) -> typing.Iterator[str]:
-    """Yield what is wrong with a scenario beside its fields' types."""
+    """Yield messages on invalid values; types were checked before."""
     for name in _POSITIVE:
         if getattr(scenario, name) <= 0:
-            yield f'`{name}` has to be above 0'
+            yield f'`{name}` must be greater than 0'
     if scenario.engines.count <= 0 or scenario.engines.slots <= 0:
-        yield '`engines` needs a `count` and `slots` above 0'
+        yield '`engines` needs a `count` and `slots` greater than 0'
     names = {kind.name for kind in scenario.kinds}
     for kind in scenario.kinds:
         if kind.rate < 0 or kind.turns < 1 or kind.tokens <= 0:
-            yield f'kind `{kind.name}`: rate, turns or tokens are too small'
+            yield (
+                f'kind `{kind.name}`: `rate` must be at least 0, `turns` at'
+                ' least 1 and `tokens` greater than 0'
+            )
     for burst in scenario.bursts:
         if burst.kind and burst.kind not in names:
             yield f'`bursts`: no kind is called `{burst.kind}`'
     if not scenario.seeds or not scenario.policies:
-        yield '`seeds` and `policies` need an entry each'
+        yield '`seeds` and `policies` must not be empty'
--- a/libs/scheduling/vanillayoke/scheduling/__init__.py
+++ b/libs/scheduling/vanillayoke/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Placement, admission, order, cache lifetime, limits: pure."""
+"""Scheduling decisions without I/O or clocks."""
--- a/tests/emulator/test_emulation.py
+++ b/tests/emulator/test_emulation.py
@@ -1,4 +1,4 @@
-"""Tests of playing scenarios, and of what the product's policies gain."""
+"""Tests of emulations and of the benefit of the product's policies."""
 
 import pathlib
 import tempfile
@@ -9,7 +9,7 @@
 from vanillayoke.emulator import scenarios
 from vanillayoke.testing import fixtures
 
-# 0.9 of the slots are taken on average; a burst of half as many again.
+# On average 90% of the slots are in use; there is one burst of programs.
 SCENARIO = scenarios.Scenario(
     name='small',
     instances=40,
@@ -23,7 +23,7 @@
     ),
     bursts=(scenarios.Burst(at=4, seconds=3, times=1.5),),
 )
-CALM = scenarios.Scenario(
+LOW_LOAD = scenarios.Scenario(
     name='calm',
     instances=4,
     zones=1,
@@ -32,67 +32,67 @@
 )
 
 
-def _play(name, seed=1, scenario=SCENARIO):
+def _run(name, seed=1, scenario=SCENARIO):
     policy = policies.POLICIES[name]
     return emulation.Emulation(scenario, policy, seed).play()
 
 
-def _find_worth(name):
-    played = [_play(name, seed) for seed in (1, 2)]
-    return reports.make_row(name, played).worth.mean
+def _compute_worth(name):
+    results = [_run(name, seed) for seed in (1, 2)]
+    return reports.make_row(name, results).worth.mean
 
 
-def test_seed_gives_the_same_run(case):
-    case.assertEqual(_play('counted'), _play('counted'))
-    case.assertNotEqual(_play('counted'), _play('counted', 2))
+def test_equal_seeds_give_equal_results(case):
+    case.assertEqual(_run('counted'), _run('counted'))
+    case.assertNotEqual(_run('counted'), _run('counted', 2))
 
 
-def test_all_policies_meet_the_same_load(case):
-    """Otherwise they could not be compared seed by seed."""
+def test_all_policies_get_the_same_load(case):
+    """Otherwise they could not be compared by seed."""
     loads = [
-        sorted((one.began, one.aim) for one in _play(name).outcomes)
+        sorted(
+            (outcome.started_at, outcome.time_limit)
+            for outcome in _run(name).outcomes
+        )
         for name in ('counted', 'drawn, first come')
     ]
     case.assertEqual(loads[0], loads[1])
 
 
 def test_every_program_ends_once(case):
-    outcomes = _play('reported').outcomes
-    begins = [one.began for one in outcomes]
-    case.assertEqual(len(begins), len(set(begins)))
-    case.assertTrue(all(one.began < SCENARIO.seconds for one in outcomes))
+    outcomes = _run('reported').outcomes
+    starts = [outcome.started_at for outcome in outcomes]
+    case.assertEqual(len(starts), len(set(starts)))
+    case.assertTrue(
+        all(outcome.started_at < SCENARIO.seconds for outcome in outcomes)
+    )
 
 
-def test_programs_are_in_time_on_idle_engines(case):
+def test_programs_end_in_time_on_idle_engines(case):
     for name in policies.POLICIES:
-        row = reports.make_row(name, [_play(name, 1, CALM)])
+        row = reports.make_row(name, [_run(name, 1, LOW_LOAD)])
         case.assertGreater(row.in_time.mean, 0.98, name)
 
 
-def test_counts_at_homes_come_near_to_knowing_all(case):
-    """Forty instances before six engines under a burst.
-
-    By reports that are seconds old many turns queue while engines stand
-    idle; by counts nearly as many programs are in time as if each choice saw
-    all engines as they are.
-    """
+def test_counts_of_coordinators_are_nearly_as_good_as_true_loads(case):
+    """With old load reports turns would queue while other engines are idle."""
     counted, reported, exact = map(
-        _find_worth, ('counted', 'reported', 'exact')
+        _compute_worth, ('counted', 'reported', 'exact')
     )
     case.assertGreater(counted, exact - 0.03)
     case.assertGreater(counted, reported + 0.02)
 
 
-def test_order_by_slack_beats_first_come(case):
+def test_order_by_slack_is_better_than_first_come(case):
     case.assertGreater(
-        _find_worth('counted'), _find_worth('counted, first come') + 0.03
+        _compute_worth('counted'), _compute_worth('counted, first come') + 0.03
     )
 
 
-def test_report_holds_the_table_and_a_plot_of_each_policy(case):
-    played = {name: [_play(name)] for name in ('counted', 'reported')}
-    rows = [reports.make_row(name, ones) for name, ones in played.items()]
-    page = reports.render_page(SCENARIO, rows, played)
+def test_report_contains_a_table_and_plots_of_each_policy(case):
+    results = {name: [_run(name)] for name in ('counted', 'reported')}
+    rows = [reports.make_row(name, runs) for name, runs in results.items()]
+    page = reports.render_page(SCENARIO, rows, results)
     case.assertEqual(3, page.count('<svg'))
     case.assertEqual(6, page.count('<polyline'))
     text = reports.format_table(rows)
@@ -106,31 +106,31 @@
         return scenarios.read_scenario(str(path))
 
 
-def test_example_is_a_scenario(case):
+def test_example_is_a_valid_scenario(case):
     root = pathlib.Path(__file__).parents[2]
-    found = scenarios.read_scenario(str(root / 'examples' / 'burst.json'))
-    case.assertEqual(set(), set(found.policies) - set(policies.POLICIES))
+    scenario = scenarios.read_scenario(str(root / 'examples' / 'burst.json'))
+    case.assertEqual(set(), set(scenario.policies) - set(policies.POLICIES))
 
 
-GOOD = (
+TEMPLATE = (
     '{"name": "x", "instances": 2, "zones": 1, "engines": '
     '{"count": 1, "slots": 2}, "kinds": [], %s}'
 )
-UNKNOWN = '"bursts": [{"at": 1, "seconds": 1, "times": 2, "kind": "no"}]'
+UNKNOWN_KIND = '"bursts": [{"at": 1, "seconds": 1, "times": 2, "kind": "no"}]'
 
 
-def test_broken_scenarios_are_told_by_file_and_field(case):
-    for text, told in (
+def test_messages_on_invalid_scenarios_name_file_and_field(case):
+    for text, expected in (
         ('{"name": ', 'load.json'),
-        (GOOD % '"seconds": "long"', 'seconds'),
-        (GOOD % '"seconds": -1', 'seconds'),
-        (GOOD % '"speed": 1', 'speed'),
-        (GOOD % UNKNOWN, 'no kind is called `no`'),
+        (TEMPLATE % '"seconds": "long"', 'seconds'),
+        (TEMPLATE % '"seconds": -1', 'seconds'),
+        (TEMPLATE % '"speed": 1', 'speed'),
+        (TEMPLATE % UNKNOWN_KIND, 'no kind is called `no`'),
     ):
         with case.assertRaises(scenarios.ScenarioError) as caught:
             _read(text)
         case.assertIn('load.json', str(caught.exception))
-        case.assertIn(told, str(caught.exception))
+        case.assertIn(expected, str(caught.exception))
 
 
 load_tests = fixtures.adapt(__name__)
