--- a/libs/emulator/vanillayoke/emulator/policies.py
+++ b/libs/emulator/vanillayoke/emulator/policies.py
@@ -141,8 +141,8 @@
         context.random_float,
     )
     loads = {
-        engine.name: context.counts.get_load(engine.name, now)
-        for engine in local
+        candidate.name: context.counts.get_load(candidate.name, now)
+        for candidate in local
     }
     best = occupancy.choose_least_loaded(
         local, loads, context.occupancy, criteria, now, context.random_float
@@ -152,8 +152,8 @@
     ):
         return best
     loads |= {
-        engine.name: context.counts.get_load(engine.name, now)
-        for engine in remote
+        candidate.name: context.counts.get_load(candidate.name, now)
+        for candidate in remote
     }
     return occupancy.choose_least_loaded(
         [*local, *remote],
--- a/libs/scheduling/vanillayoke/scheduling/occupancy.py
+++ b/libs/scheduling/vanillayoke/scheduling/occupancy.py
@@ -62,7 +62,7 @@
         count_instances: typing.Callable[[], int] = lambda: 1,
         publish: typing.Callable[
             [shared_health_module.HealthState], None
-        ] = lambda verdict: None,
+        ] = lambda state: None,
     ) -> None:
         self._states: dict[str, _State] = {}
         self.shared_health = (
@@ -123,7 +123,10 @@
             self._publish(state)
 
     def retain(self, names: typing.Container[str]) -> None:
-        """Discard the state of targets that are not in ``names``."""
+        """Discard the state of targets that are not in ``names``.
+
+        Load and local health are kept while requests are in flight.
+        """
         for name, state in list(self._states.items()):
             if name not in names and state.in_flight <= 0:
                 del self._states[name]
--- a/libs/scheduling/vanillayoke/scheduling/outages.py
+++ b/libs/scheduling/vanillayoke/scheduling/outages.py
@@ -17,10 +17,10 @@
 MIN_RETURN_PROBABILITY = 0.1
 # The estimate by age weighs as much as this many previous outages.
 AGE_ESTIMATE_WEIGHT = 2.0
-# Of the caller's remaining time.
+# Share of the caller's remaining time.
 MAX_PAUSE_RATIO = 0.32
-# For callers whose remaining time is too short to be served: they retry at
-# once, with a new deadline.
+# For callers whose remaining time is too short to be served: their next
+# attempt can wait for the store.
 MIN_PAUSE_SECONDS = 0.05
 
 
@@ -90,7 +90,7 @@
 
 
 def estimate_return_probability(outage: Outage, within: float) -> float:
-    """Return the probability that the store returns within some seconds."""
+    """Return the probability of the store's return within so many seconds."""
     by_age = within / max(within + outage.age, 1e-9)
     longer = [
         duration for duration in outage.previous if duration > outage.age
--- a/libs/scheduling/vanillayoke/scheduling/shared_health.py
+++ b/libs/scheduling/vanillayoke/scheduling/shared_health.py
@@ -117,7 +117,7 @@
         return record is None or now >= record.probe_at
 
     def record_probe(self, target: str, now: float, instances: int) -> None:
-        """Record a request to a target and schedule the next probe."""
+        """Schedule the next probe if the target is unhealthy."""
         record = self._records.get(target)
         if record is not None and self._has_quorum(record, instances):
             record.probe_at = now + self._draw_probe_delay(instances)
--- a/libs/scheduling/vanillayoke/scheduling/urgency.py
+++ b/libs/scheduling/vanillayoke/scheduling/urgency.py
@@ -7,14 +7,14 @@
 
 from vanillayoke.scheduling import program_slack
 
-# Level 0 is the most urgent one.
+# Targets know the levels 0 (most urgent) to 9.
 LEAST_URGENT_LEVEL = 9
 DEFAULT_LEVEL = 5
 LATE_LEVEL = 8
-# Upper bounds of the slack for each level. There are few levels, since
-# preempted requests have to process their prompts again.
+# Upper bounds of the slack for each level from BASE_LEVEL on. There are few
+# levels, since preempted requests have to process their prompts again.
 SLACK_BOUNDS_SECONDS = (0.4, 1.6)
-MOST_URGENT_LEVEL = 4
+BASE_LEVEL = 4
 # Programs that are overdue by more of their time limit get the lowest level.
 MAX_OVERDUE_RATIO = 1.0
 # Slack is multiplied by this factor for each step of lower priority.
@@ -35,5 +35,5 @@
     weighted = slack.left * PRIORITY_FACTOR**priority
     for index, bound in enumerate(SLACK_BOUNDS_SECONDS):
         if weighted <= bound:
-            return MOST_URGENT_LEVEL + index
-    return MOST_URGENT_LEVEL + len(SLACK_BOUNDS_SECONDS)
+            return BASE_LEVEL + index
+    return BASE_LEVEL + len(SLACK_BOUNDS_SECONDS)
