--- a/libs/cli/vanillayoke/cli/management/commands/emulate.py
+++ b/libs/cli/vanillayoke/cli/management/commands/emulate.py
@@ -46,12 +46,12 @@
             known = ', '.join(policies.POLICIES)
             invocation.warn(f'No policy is called "{name}"; known: {known}.')
             return exits.Exit.BAD_INPUT
-    played: dict[str, list[emulation.Played]] = {name: [] for name in names}
+    played: dict[str, list[emulation.RunResult]] = {name: [] for name in names}
     total = len(names) * len(scenario.seeds)
     for seed in scenario.seeds:
         for name in names:
             policy = policies.POLICIES[name]
-            one = emulation.Emulation(scenario, policy, seed).play()
+            one = emulation.Emulation(scenario, policy, seed).run()
             played[name].append(one)
             _show_progress(invocation, sum(map(len, played.values())), total)
     invocation.errors.write('\n')
--- a/libs/emulator/vanillayoke/emulator/emulation.py
+++ b/libs/emulator/vanillayoke/emulator/emulation.py
@@ -44,7 +44,7 @@
     waiting: float
 
 
-class Played(typing.NamedTuple):
+class RunResult(typing.NamedTuple):
     """The results of one policy with one seed."""
 
     outcomes: list[Outcome]
@@ -113,13 +113,13 @@
         self._shed = 0
         self._turns = 0
 
-    def play(self) -> Played:
+    def run(self) -> RunResult:
         """Run until all programs have ended."""
         self._schedule_load()
         while self._events:
             now, _, callback = heapq.heappop(self._events)
             callback(now)
-        return Played(
+        return RunResult(
             self._outcomes,
             self._samples,
             self._shed,
--- a/libs/emulator/vanillayoke/emulator/reports.py
+++ b/libs/emulator/vanillayoke/emulator/reports.py
@@ -58,7 +58,9 @@
     return Figure(mean, 1.96 * error)
 
 
-def make_row(policy: str, results: typing.Sequence[emulation.Played]) -> Row:
+def make_row(
+    policy: str, results: typing.Sequence[emulation.RunResult]
+) -> Row:
     """Return the figures of a policy."""
     return Row(
         policy,
@@ -80,7 +82,7 @@
     )
 
 
-def _compute_worth(result: emulation.Played) -> float:
+def _compute_worth(result: emulation.RunResult) -> float:
     total = sum(outcome.worth for outcome in result.outcomes)
     return (
         sum(outcome.earned for outcome in result.outcomes) / total
@@ -90,7 +92,7 @@
 
 
 def _compute_share(
-    result: emulation.Played,
+    result: emulation.RunResult,
     predicate: typing.Callable[[emulation.Outcome], bool],
 ) -> float:
     return sum(map(predicate, result.outcomes)) / max(1, len(result.outcomes))
@@ -106,7 +108,7 @@
     return outcome.duration is None
 
 
-def _compute_quantile(result: emulation.Played, quantile: float) -> float:
+def _compute_quantile(result: emulation.RunResult, quantile: float) -> float:
     """Return a quantile of the programs' durations over their time limits.
 
     The ratio is clipped to 2, which also stands for failed programs.
@@ -134,7 +136,7 @@
 def render_page(
     scenario: scenarios.Scenario,
     rows: typing.Sequence[Row],
-    results: typing.Mapping[str, typing.Sequence[emulation.Played]],
+    results: typing.Mapping[str, typing.Sequence[emulation.RunResult]],
 ) -> str:
     """Return an HTML page with the table and plots over time."""
     in_time = {
@@ -167,7 +169,7 @@
 
 
 def _make_series(
-    results: list[emulation.Played], seconds: float
+    results: list[emulation.RunResult], seconds: float
 ) -> list[float]:
     """Return the share of programs in time, by the second of their start."""
     good = [0] * (int(seconds) + 1)
@@ -180,7 +182,7 @@
 
 
 def _average_samples(
-    results: typing.Sequence[emulation.Played], field: str
+    results: typing.Sequence[emulation.RunResult], field: str
 ) -> list[float]:
     columns = zip(*(result.samples for result in results), strict=True)
     return [
--- a/libs/scheduling/vanillayoke/scheduling/models.py
+++ b/libs/scheduling/vanillayoke/scheduling/models.py
@@ -10,7 +10,7 @@
 from vanillayoke.core import ids
 from vanillayoke.settings import configuration
 
-# A restarting engine returns sooner than another engine could load the model.
+# A restarting engine returns before another one could load the model.
 MISSING_COPY_DELAY_SECONDS = 15.0
 # Superfluous copies of a model are unloaded one after another.
 SPARE_COPY_DELAY_SECONDS = 600.0
@@ -31,7 +31,10 @@
 
 
 class CopyPlan(typing.NamedTuple):
-    """The models that an engine has to load and those that it may unload."""
+    """The models that an engine must have and those that it may unload.
+
+    Only copies that were loaded by an order may be unloaded.
+    """
 
     needed: frozenset[str] = frozenset()
     spare: frozenset[str] = frozenset()
--- a/tests/emulator/test_emulation.py
+++ b/tests/emulator/test_emulation.py
@@ -34,7 +34,7 @@
 
 def _run(name, seed=1, scenario=SCENARIO):
     policy = policies.POLICIES[name]
-    return emulation.Emulation(scenario, policy, seed).play()
+    return emulation.Emulation(scenario, policy, seed).run()
 
 
 def _compute_worth(name):
