--- a/libs/gateway/vanillayoke/gateway/health_gossip.py
+++ b/libs/gateway/vanillayoke/gateway/health_gossip.py
@@ -1,4 +1,4 @@
-"""Spreading what is found out about sick targets among the instances."""
+"""Gossip among the instances about the health states of targets."""
 
 import random
 
@@ -8,13 +8,13 @@
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.scheduling import verdicts as verdicts_module
 
-# How many others an instance tells of a verdict that is new to it: with four,
-# 98 in 100 hear of it within a few hops, and the rest by its repetition.
+# Random peers to which an instance forwards a state that is new to it. With
+# four, a state reaches nearly all instances within a few hops.
 FANOUT = 4
 
 
 class HealthGossip:
-    """Tells a few others of each verdict; each tells a few more."""
+    """Spreads health states: each instance forwards new ones to some peers."""
 
     def __init__(
         self,
@@ -22,50 +22,50 @@
         verdicts: verdicts_module.Verdicts,
         list_eligible: homes_ranking.ListMembers,
         timer_service: timers.TimerService,
-        source: random.Random,
+        rng: random.Random,
         notes: notes_module.Notes,
     ) -> None:
         self._instance = instance
         self._verdicts = verdicts
         self._list_eligible = list_eligible
         self._timers = timer_service
-        self._source = source
+        self._rng = rng
         self._notes = notes
         self._peers: peers_module.Peers | None = None
 
     def set_peers(self, peers: peers_module.Peers) -> None:
-        """Tell other instances through this from now on."""
+        """Set the connection to the other instances."""
         self._peers = peers
 
     def count_instances(self) -> int:
-        """Return how many instances there are to agree."""
+        """Return the number of instances, of which a quorum has to agree."""
         return len(self._list_eligible())
 
-    def publish(self, verdict: verdicts_module.Verdict) -> None:
-        """Spread what this instance found out."""
-        self._notes.note_verdict(verdict)
-        self._spread(verdict)
+    def publish(self, state: verdicts_module.Verdict) -> None:
+        """Spread a state that this instance has found out."""
+        self._notes.note_verdict(state)
+        self._spread(state)
 
-    def receive(self, verdict: verdicts_module.Verdict) -> None:
-        """Take what another instance tells; pass on what is new.
+    def receive(self, state: verdicts_module.Verdict) -> None:
+        """Merge a state of another instance, and forward it if it was new.
 
-        A line is written only where it changes what this instance does.
+        It is logged only if it changes whether the target counts as unhealthy.
         """
         count = self.count_instances()
-        was_sick = self._verdicts.is_sick(verdict.target, count)
-        merged = self._verdicts.merge(verdict, self._timers.now(), count)
+        was_unhealthy = self._verdicts.is_sick(state.target, count)
+        merged = self._verdicts.merge(state, self._timers.now(), count)
         if merged is None:
             return
-        if self._verdicts.is_sick(verdict.target, count) != was_sick:
+        if self._verdicts.is_sick(state.target, count) != was_unhealthy:
             self._notes.note_verdict(merged)
         self._spread(merged)
 
-    def _spread(self, verdict: verdicts_module.Verdict) -> None:
-        others = [
-            home.address
-            for home in self._list_eligible()
-            if home.instance != self._instance
+    def _spread(self, state: verdicts_module.Verdict) -> None:
+        addresses = [
+            peer.address
+            for peer in self._list_eligible()
+            if peer.instance != self._instance
         ]
-        self._source.shuffle(others)
+        self._rng.shuffle(addresses)
         if self._peers is not None:
-            self._peers.send_health_state(others[:FANOUT], verdict)
+            self._peers.send_health_state(addresses[:FANOUT], state)
--- a/libs/gateway/vanillayoke/gateway/load_queries.py
+++ b/libs/gateway/vanillayoke/gateway/load_queries.py
@@ -1,7 +1,8 @@
-"""Asking the homes of targets how much work these have just now.
+"""Load queries: how many requests all instances have sent to a target.
 
-A target's home is an instance of its own zone, where there is one: most
-requests stay in their zone, and so do the datagrams about them.
+The load of a target is counted by its coordinator, an instance of the target's
+own zone if there is one: most requests stay in their zone, and so do the
+datagrams about them.
 """
 
 import asyncio
@@ -15,14 +16,13 @@
 from vanillayoke.scheduling import occupancy
 from vanillayoke.scheduling import tallies
 
-# How long to wait for the homes' answers. A round trip between zones takes
-# two milliseconds; what does not come by then is taken from this instance's
-# own view, which costs less than waiting on. Seconds.
-PATIENCE = 0.008
+# A round trip between zones takes two milliseconds. Without a response the
+# local view of the load is used, which costs less than waiting longer.
+QUERY_TIMEOUT_SECONDS = 0.008
 
 
 class LoadQueries:
-    """Tells homes what goes to their targets, and asks them for counts."""
+    """Reports requests to the coordinators of targets, and queries loads."""
 
     def __init__(
         self,
@@ -35,109 +35,121 @@
         self._timers = timer_service
         self._tallies = tallies.Tallies()
         self._peers: peers_module.Peers | None = None
-        self._members: typing.Sequence[homes_ranking.HomeMember] = ()
-        self._homes: dict[str, str | None] = {}
+        self._eligible: typing.Sequence[homes_ranking.HomeMember] = ()
+        # Coordinators' addresses by target, None for this instance.
+        self._coordinators: dict[str, str | None] = {}
 
     def set_peers(self, peers: peers_module.Peers) -> None:
-        """Ask other instances through this from now on."""
+        """Set the connection to the other instances."""
         self._peers = peers
 
     async def query(
         self, places: typing.Iterable[occupancy.Place]
     ) -> dict[str, tallies.Load]:
-        """Return the loads of those targets whose homes answer in time."""
-        found: dict[str, tallies.Load] = {}
-        asked = []
+        """Return the loads of targets whose coordinators respond in time."""
+        loads: dict[str, tallies.Load] = {}
+        queries = []
         for place in places:
-            address = self._find_home(place.name, place.zone)
+            address = self._find_coordinator(place.name, place.zone)
             if address is None:
                 now = self._timers.now()
-                found[place.name] = self._tallies.find_load(place.name, now)
+                loads[place.name] = self._tallies.find_load(place.name, now)
             else:
-                asked.append(self._ask(address, place.name, found))
-        if asked:
-            await asyncio.gather(*asked)
-        return found
+                queries.append(self._query(address, place.name, loads))
+        if queries:
+            await asyncio.gather(*queries)
+        return loads
 
-    async def _ask(
-        self, address: str, target: str, found: dict[str, tallies.Load]
+    async def _query(
+        self, address: str, target: str, loads: dict[str, tallies.Load]
     ) -> None:
-        answer = await self._peers.send_request(
+        response = await self._peers.send_request(
             address,
             peer_messages.LoadQuery(target),
-            self._timers.now() + PATIENCE,
-            (PATIENCE,),
+            self._timers.now() + QUERY_TIMEOUT_SECONDS,
+            (QUERY_TIMEOUT_SECONDS,),
         )
-        if isinstance(answer, peer_messages.LoadResponse):
-            found[target] = tallies.Load(answer.requests, answer.latency_ratio)
+        if isinstance(response, peer_messages.LoadResponse):
+            loads[target] = tallies.Load(
+                response.requests, response.latency_ratio
+            )
 
     def record_start(
-        self, target: messages.Target, request: str, longest: float
+        self, target: messages.Target, request: str, max_duration: float
     ) -> None:
-        """Note that a request goes to a target, for so long at the most."""
-        self._tell(
-            target, peer_messages.RequestStarted(target.name, request, longest)
+        """Record that a request was sent; ``max_duration`` is in seconds."""
+        self._notify_coordinator(
+            target,
+            peer_messages.RequestStarted(target.name, request, max_duration),
         )
 
     def record_end(
         self,
         target: messages.Target,
         request: str,
-        reported: int | None,
-        pace: float | None,
+        reported_count: int | None,
+        latency_ratio: float | None,
     ) -> None:
-        """Note that a request has ended; see ``tallies.Tallies.end``."""
-        note = peer_messages.RequestEnded(target.name, request, reported, pace)
-        self._tell(target, note)
+        """Record that a request has ended; see ``tallies.Tallies.end``."""
+        notification = peer_messages.RequestEnded(
+            target.name, request, reported_count, latency_ratio
+        )
+        self._notify_coordinator(target, notification)
 
-    def handle(self, note: peer_messages.Notification) -> None:
-        """Take what this or another instance tells of a target."""
+    def handle(self, notification: peer_messages.Notification) -> None:
+        """Handle a notification of this or another instance."""
         now = self._timers.now()
-        match note:
-            case peer_messages.RequestStarted(target, request, longest):
-                self._tallies.begin(target, request, now + longest, now)
-            case peer_messages.RequestEnded(target, request, reported, pace):
-                self._tallies.end(target, request, reported, pace, now)
+        match notification:
+            case peer_messages.RequestStarted(target, request, max_duration):
+                self._tallies.begin(target, request, now + max_duration, now)
+            case peer_messages.RequestEnded(
+                target, request, reported_count, latency_ratio
+            ):
+                self._tallies.end(
+                    target, request, reported_count, latency_ratio, now
+                )
 
     def handle_request(
         self, request: peer_messages.LoadQuery
     ) -> peer_messages.LoadResponse:
-        """Answer another instance."""
+        """Return the load for a query of another instance."""
         load = self._tallies.find_load(request.target, self._timers.now())
         return peer_messages.LoadResponse(load.requests, load.slowness)
 
     def retain(self, targets: typing.Container[str]) -> None:
-        """Forget the targets that are no more."""
+        """Drop what is known of targets other than these."""
         self._tallies.forget(targets)
-        self._homes.clear()
+        self._coordinators.clear()
 
     def handle_restart(self, target: str) -> None:
-        """Forget the work of a target that has started again."""
+        """Drop the requests of a target that has restarted."""
         self._tallies.drop(target)
 
-    def _tell(
-        self, target: messages.Target, note: peer_messages.Notification
+    def _notify_coordinator(
+        self, target: messages.Target, notification: peer_messages.Notification
     ) -> None:
-        address = self._find_home(target.name, target.zone)
+        address = self._find_coordinator(target.name, target.zone)
         if address is None:
-            self.handle(note)
+            self.handle(notification)
         else:
-            self._peers.notify(address, note)
-
-    def _find_home(self, target: str, zone: str) -> str | None:
-        """Return the address of a target's home, ``None`` for this one."""
-        members = self._list_eligible()
-        if members is not self._members:
-            self._members = members
-            self._homes.clear()
-        if target not in self._homes:
-            self._homes[target] = self._rank_home(target, zone)
-        return self._homes[target]
-
-    def _rank_home(self, target: str, zone: str) -> str | None:
-        near = [one for one in self._members if one.zone == zone]
+            self._peers.notify(address, notification)
+
+    def _find_coordinator(self, target: str, zone: str) -> str | None:
+        """Return the coordinator's address, ``None`` for this instance."""
+        eligible = self._list_eligible()
+        if eligible is not self._eligible:
+            self._eligible = eligible
+            self._coordinators.clear()
+        if target not in self._coordinators:
+            self._coordinators[target] = self._choose_coordinator(target, zone)
+        return self._coordinators[target]
+
+    def _choose_coordinator(self, target: str, zone: str) -> str | None:
+        local = [peer for peer in self._eligible if peer.zone == zone]
         addresses = {
-            one.instance: one.address for one in near or self._members
+            peer.instance: peer.address for peer in local or self._eligible
         }
-        home = homes_ranking.find_first(target, addresses)
-        return None if home in (None, self._instance) else addresses[home]
+        instance = homes_ranking.find_first(target, addresses)
+        return (
+            None if instance in (None, self._instance) else addresses[instance]
+        )
--- a/libs/gateway/vanillayoke/gateway/members.py
+++ b/libs/gateway/vanillayoke/gateway/members.py
@@ -1,4 +1,4 @@
-"""Who lives among the instances: probing by datagrams, listed in the store."""
+"""Membership of the instances: datagram probes and the store's table."""
 
 import random
 import typing
@@ -15,22 +15,22 @@
 from vanillayoke.settings import process
 
 TABLE = 'instances'
-# An instance that has failed is found within about two seconds: it is probed
-# by some other one each interval, and has the suspicion time to refute.
-# Probes are datagrams of some 200 bytes. Seconds.
-PROBES = process.ProbeSettings(interval=0.3, timeout=0.15, suspicion=0.5)
-
-# Within this time all instances start where the whole system starts for the
-# first time. Seconds.
-FIRST_START = 5.0
-# Instances that are in touch hear of one another far more often. Seconds.
-LONGEST_SILENCE = 1.0
-# With fewer others their silence says little about this instance.
-FEWEST_OTHERS = 2
-_OUT_OF_REACH = frozenset(
+# A failed instance is detected within about two seconds: another instance
+# probes it in each interval, and it has the suspicion time to refute.
+PROBE_SETTINGS = process.ProbeSettings(
+    interval=0.3, timeout=0.15, suspicion=0.5
+)
+
+# On the first start of the whole system all instances start within this time.
+FIRST_START_SECONDS = 5.0
+# Connected instances receive datagrams several times a second.
+LOST_CONTACT_SECONDS = 1.0
+# With fewer other instances, their failures say little about this one.
+MIN_OTHER_COUNT = 2
+_SUSPECTED_OR_FAILED = frozenset(
     (cluster_messages.State.SUSPECTED, cluster_messages.State.FAILED)
 )
-_GONE = frozenset(
+_LEAVING_OR_LEFT = frozenset(
     (cluster_messages.State.LEAVING, cluster_messages.State.LEFT)
 )
 
@@ -46,13 +46,13 @@
 
 
 class Members:
-    """This instance's view of all instances."""
+    """The membership view of this instance."""
 
     def __init__(
         self,
         me: messages.InstanceRow,
         timer_service: timers.TimerService,
-        source: random.Random,
+        rng: random.Random,
         send: typing.Callable[[str, bytes], None],
         on_change: typing.Callable[
             [cluster_messages.Member | None, cluster_messages.Member], None
@@ -60,44 +60,46 @@
         is_first_start: bool = False,
     ) -> None:
         self._timers = timer_service
-        # The wall time by which all have started that start together.
-        self._settled_at = 0.0
+        # Wall time after which starts no longer belong to the first start.
+        self._first_start_ends_at = 0.0
         if is_first_start:
-            self._settled_at = timer_service.wall() + FIRST_START
+            self._first_start_ends_at = (
+                timer_service.wall() + FIRST_START_SECONDS
+            )
         self._send = send
         self._on_change = on_change
-        self._heard_at = timer_service.now()
+        self._received_at = timer_service.now()
         member = cluster_messages.Member(
             me.instance, me.incarnation, me.zone, me.region, me.front, me.peer
         )
         self._membership = membership.Membership(
-            member, PROBES, source, timer_service.now()
+            member, PROBE_SETTINGS, rng, timer_service.now()
         )
-        # The instances that the table lists, by the keys of their rows.
+        # Instances in the store's table, by row key.
         self._listed: dict[str, str] = {}
-        self._tick: timers.Subscription | None = None
+        self._probe_timer: timers.Subscription | None = None
         self.is_leaving = False
-        # Made when asked for: while many instances start, one changes after
-        # another, and nobody asks between.
-        self._homes: tuple[homes_ranking.HomeMember, ...] | None = None
+        # Built on demand, as membership changes far more often than it is read
+        # while many instances start.
+        self._eligible: tuple[homes_ranking.HomeMember, ...] | None = None
 
     def start(self) -> None:
-        """Begin to probe."""
+        """Start probing."""
         self._schedule()
 
     def receive(self, data: bytes, sender: str) -> None:
-        """Take a datagram of another instance."""
-        self._heard_at = self._timers.now()
+        """Handle a membership datagram from another instance."""
+        self._received_at = self._timers.now()
         packet = cluster_messages.decode_packet(data)
         if packet is not None:
             self._decide(membership_events.Received(packet.message))
 
     def put_row(self, key: str, value: bytes | None) -> None:
-        """Take a row of the table over; a removed one is forgotten."""
+        """Apply a row of the table; ``None`` says that it was removed."""
         if value is None:
-            name = self._listed.pop(key, None)
-            if name is not None:
-                self._decide(membership_events.Removed(name))
+            instance = self._listed.pop(key, None)
+            if instance is not None:
+                self._decide(membership_events.Removed(instance))
             return
         try:
             row = _ROWS.decode(value)
@@ -114,104 +116,107 @@
         return self._membership.list_members()
 
     def list_live(self) -> list[cluster_messages.Member]:
-        """Return the instances that live and are not leaving."""
+        """Return the instances that are alive and not leaving."""
         alive = cluster_messages.State.ALIVE
-        return [one for one in self.list_members() if one.state is alive]
+        return [m for m in self.list_members() if m.state is alive]
 
     def list_eligible(self) -> typing.Sequence[homes_ranking.HomeMember]:
-        """Return the instances that may keep programs.
+        """Return the instances that are eligible as coordinators.
 
-        It is the same sequence for as long as nothing changes.
+        The same sequence object is returned until the membership changes.
         """
-        if self._homes is None:
-            self._homes = tuple(
-                _make_home(one)
-                for one in self.list_members()
-                if _may_be_home(one)
+        if self._eligible is None:
+            self._eligible = tuple(
+                _make_peer(member)
+                for member in self.list_members()
+                if _is_eligible(member)
             )
-        return self._homes
+        return self._eligible
 
     def list_live_eligible(self) -> list[homes_ranking.HomeMember]:
-        """Return the instances that keep programs and were heard of."""
-        return [_make_home(one) for one in self.list_live()]
+        """Return the eligible instances that are known to be alive."""
+        return [_make_peer(member) for member in self.list_live()]
 
     def list_reachable(self) -> list[homes_ranking.HomeMember]:
-        """Return the instances that answer, or may do so in a moment.
+        """Return the instances that are alive, suspected or leaving.
 
-        Those that are leaving are no homes any more, and still hold what
-        they were granted.
+        Leaving instances are no longer eligible as coordinators, but still
+        hold what they were granted.
         """
         return [
-            _make_home(one)
-            for one in self.list_members()
-            if one.state in _REACHABLE
+            _make_peer(member)
+            for member in self.list_members()
+            if member.state in _REACHABLE
         ]
 
     def list_failed(self) -> list[homes_ranking.HomeMember]:
-        """Return the instances that did not answer and may yet come back."""
+        """Return the failed instances, which may recover."""
         failed = cluster_messages.State.FAILED
         return [
-            _make_home(one)
-            for one in self.list_members()
-            if one.state is failed
+            _make_peer(member)
+            for member in self.list_members()
+            if member.state is failed
         ]
 
     def compute_lost_ratio(self, age: float) -> float:
-        """Return the share of instances lost within ``age`` seconds.
+        """Return the ratio of instances that failed or were replaced.
 
-        Most of those that started since have taken the place of a former
-        process. Instances that start together with the whole system have not.
+        An instance that started within the last ``age`` seconds counts as
+        replaced, unless it started with the first start of the whole system.
         """
         members = [
-            one for one in self.list_members() if one.state not in _GONE
+            m for m in self.list_members() if m.state not in _LEAVING_OR_LEFT
         ]
         if not members:
             return 0.0
-        since = max(self._timers.wall() - age, self._settled_at) * 1000
-        failed = cluster_messages.State.FAILED
-        lost = sum(
-            one.state is failed or one.incarnation > since for one in members
+        since = (
+            max(self._timers.wall() - age, self._first_start_ends_at) * 1000
         )
+        failed = cluster_messages.State.FAILED
+        lost = sum(m.state is failed or m.incarnation > since for m in members)
         return lost / len(members)
 
     @property
     def incarnation(self) -> int:
-        """This instance's incarnation; it grows when others miss it."""
+        """This instance's incarnation, raised to refute a suspicion."""
         return self._membership.me.incarnation
 
     @property
     def is_in_minority(self) -> bool:
-        """Whether most of the other instances are out of reach.
+        """Whether most of the other instances are unreachable.
 
-        Then it is this instance that was cut off, rather than they.
+        This instance is then on the smaller side of a network partition.
         """
         others = [
-            one
-            for one in self.list_members()[1:]
-            if one.state not in _GONE and one.instance in self._listed
+            member
+            for member in self.list_members()[1:]
+            if member.state not in _LEAVING_OR_LEFT
+            and member.instance in self._listed
         ]
-        lost = sum(one.state in _OUT_OF_REACH for one in others)
-        return len(others) >= FEWEST_OTHERS and lost > len(others) / 2
+        lost = sum(member.state in _SUSPECTED_OR_FAILED for member in others)
+        return len(others) >= MIN_OTHER_COUNT and lost > len(others) / 2
 
     @property
     def has_lost_contact(self) -> bool:
-        """Whether no other instance was heard for a while.
+        """Whether no datagram was received for ``LOST_CONTACT_SECONDS``.
 
-        Each is probed and answered several times a second: one that was cut
-        off knows by that before it has found all the others silent.
+        This detects a network partition before the probes of all the other
+        instances have failed.
         """
-        silence = self._timers.now() - self._heard_at
-        return silence > LONGEST_SILENCE and len(self._listed) > FEWEST_OTHERS
+        idle = self._timers.now() - self._received_at
+        return (
+            idle > LOST_CONTACT_SECONDS and len(self._listed) > MIN_OTHER_COUNT
+        )
 
     def leave(self) -> None:
-        """Tell the others that this instance takes no new work."""
+        """Announce that this instance accepts no new work."""
         self.is_leaving = True
         self._decide(membership_events.Leaving())
 
     def depart(self) -> None:
-        """Tell the others that this instance stops now."""
-        if self._tick is not None:
-            self._tick.cancel()
+        """Announce that this instance stops now, and stop probing."""
+        if self._probe_timer is not None:
+            self._probe_timer.cancel()
         self._decide(membership_events.Departed())
 
     def _decide(self, event: membership_events.Event) -> None:
@@ -222,33 +227,32 @@
                     packet = cluster_messages.Packet(0, message)
                     self._send(address, cluster_messages.encode_packet(packet))
                 case membership_events.MemberChanged(before, after):
-                    self._homes = None
+                    self._eligible = None
                     self._on_change(before, after)
         if isinstance(event, membership_events.Leaving):
-            self._homes = None
+            self._eligible = None
 
     def _schedule(self) -> None:
         delay = max(0.0, self._membership.next_wake() - self._timers.now())
-        self._tick = self._timers.call_after(delay, self._fire)
+        self._probe_timer = self._timers.call_after(delay, self._fire)
 
     def _fire(self) -> None:
         self._decide(membership_events.Ticked())
         self._schedule()
 
 
-def _may_be_home(member: cluster_messages.Member) -> bool:
-    """Say whether an instance may keep programs.
+def _is_eligible(member: cluster_messages.Member) -> bool:
+    """Return whether an instance is eligible as a coordinator.
 
-    One that is listed and was not heard of yet may: where all start at the
-    same moment it takes them seconds to hear of one another, and each would
-    meanwhile be the home of all programs that come to it.
+    Instances that are only listed yet are eligible: if all start together,
+    each would otherwise coordinate every program until gossip has spread.
     """
     if member.state is cluster_messages.State.SUSPECTED:
         return member.incarnation == membership_table.LISTED_INCARNATION
     return member.state is cluster_messages.State.ALIVE
 
 
-def _make_home(member: cluster_messages.Member) -> homes_ranking.HomeMember:
+def _make_peer(member: cluster_messages.Member) -> homes_ranking.HomeMember:
     return homes_ranking.HomeMember(
         member.instance, member.peer_address, member.zone
     )
--- a/libs/gateway/vanillayoke/gateway/peer_messages.py
+++ b/libs/gateway/vanillayoke/gateway/peer_messages.py
@@ -1,4 +1,7 @@
-"""What instances ask and tell one another, by datagrams."""
+"""Datagram messages between instances: requests, responses, notifications.
+
+Structs are encoded as arrays with a tag, so only the order of fields matters.
+"""
 
 import msgspec
 
@@ -7,12 +10,13 @@
 
 
 class Reserve(msgspec.Struct, frozen=True, array_like=True, tag='R'):
-    """Reserve the most that a turn may generate from its program's budget.
+    """Reserve the tokens that a turn may generate from its program's budget.
 
-    ``time_left`` is the program's, in seconds. ``may_owe`` allows credit
-    while the store does not answer. A turn that has to be kept gets none: it
-    can't go on without the store, and what it got would be lost with its home
-    where all instances end together.
+    ``need`` is the most that it may generate, ``time_left`` the program's in
+    seconds. ``allow_credit`` lets the coordinator grant tokens while the store
+    is unavailable. It is not set for turns whose history is kept: they can't
+    go on without the store, and the credit would be lost if all instances
+    ended together.
     """
 
     program: str
@@ -26,10 +30,11 @@
 
 
 class Settle(msgspec.Struct, frozen=True, array_like=True, tag='S'):
-    """A turn is over and generated ``used`` tokens.
+    """Settle the reservation of a turn that has ended.
 
-    ``lost`` is the time in seconds that it took over the usual, ``target``
-    where it ended whole: its prompt and answer are in the memory there.
+    ``used`` counts the tokens that it generated. ``delay`` is the time in
+    seconds that it took beyond the typical duration. ``target`` is where the
+    turn completed, if it did: its prompt and answer are cached there.
     """
 
     program: str
@@ -41,16 +46,16 @@
 
 
 class Transfer(msgspec.Struct, frozen=True, array_like=True, tag='T'):
-    """Take over tokens that the sender was granted and gives up."""
+    """Transfer unused tokens that the sender was granted to the receiver."""
 
     program: str
     tokens: int
 
 
 class HandOver(msgspec.Struct, frozen=True, array_like=True, tag='H'):
-    """Give up what is free for a program that the asker now keeps.
+    """Hand over the free tokens of a program to its new coordinator.
 
-    ``asker`` is the instance that asks.
+    ``requester`` is the instance that sends this and now coordinates it.
     """
 
     program: str
@@ -58,22 +63,26 @@
 
 
 class LoadQuery(msgspec.Struct, frozen=True, array_like=True, tag='C'):
-    """How many requests does a target have?"""
+    """Query the load of a target."""
 
     target: str
 
 
 class LoadResponse(msgspec.Struct, frozen=True, array_like=True, tag='N'):
-    """About how many requests a target has, and how slow it is."""
+    """The load of a target.
+
+    ``requests`` is the estimated number of running requests,
+    ``latency_ratio`` their duration relative to the typical one.
+    """
 
     requests: float
     latency_ratio: float
 
 
 class UsageRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Requests of one program that were admitted a while ago.
+    """Requests of one program that were admitted ``age_ms`` ago.
 
-    ``age`` is in milliseconds. The count is negative where they did not run.
+    ``count`` is negative if it takes back requests that did not run.
     """
 
     age_ms: int
@@ -83,13 +92,14 @@
 
 
 class UsageReport(msgspec.Struct, frozen=True, array_like=True, tag='L'):
-    """What a process has used of an organisation's limit.
-
-    ``reporter`` names the process, apart from others of the same instance.
-    ``limit`` is as of a version of the configuration.
-    ``is_whole`` tells all of the window anew, ``is_moved`` that another
-    instance was told before, and ``asked`` is the program and route of a
-    request that waits to be admitted.
+    """Report what a process has used of an organisation's limit.
+
+    ``reporter`` names the process, which differs between processes of one
+    instance. ``limit`` is that of ``version`` of the configuration.
+    ``is_full`` says that ``records`` cover the whole window instead of what is
+    unreported, and ``is_reassigned`` that earlier reports went to another
+    instance. ``pending`` is the program and route of a request that waits for
+    admission.
     """
 
     organisation: str
@@ -103,11 +113,12 @@
 
 
 class LimitStatus(msgspec.Struct, frozen=True, array_like=True, tag='A'):
-    """How an organisation stands to its limit.
+    """The status of an organisation with regard to its limit.
 
-    ``is_close`` means that each request has to be asked for. ``refused`` is
-    why the one asked for was not admitted, and ``pause`` when to try again.
-    ``is_new`` says that its program has not begun.
+    Near the limit each request needs to be admitted by the coordinator.
+    ``refusal_reason`` says why the pending request was not admitted;
+    ``retry_after`` is in seconds, and ``is_new_program`` says that its program
+    has no earlier request.
     """
 
     is_near_limit: bool
@@ -117,7 +128,7 @@
 
 
 class RequestStarted(msgspec.Struct, frozen=True, array_like=True, tag='B'):
-    """A request goes to a target, for ``longest`` seconds at the most."""
+    """A request was sent to a target, for at most ``max_duration`` seconds."""
 
     target: str
     request: str
@@ -125,9 +136,11 @@
 
 
 class RequestEnded(msgspec.Struct, frozen=True, array_like=True, tag='E'):
-    """A request has ended at a target, which said that it had so many.
+    """A request has ended at a target.
 
-    ``pace`` is the time taken against what such requests usually take.
+    ``reported_count`` is the number of requests that the target reported to
+    have. ``latency_ratio`` is the duration relative to the typical one of such
+    requests.
     """
 
     target: str
@@ -137,9 +150,10 @@
 
 
 class HandedOver(msgspec.Struct, frozen=True, array_like=True, tag='D'):
-    """The tokens given up; they are the asker's now.
+    """The tokens handed over; they now belong to the requester.
 
-    ``receivers`` are instances that got what the answering one had before.
+    ``receivers`` are the instances that earlier got tokens of the program from
+    the responding instance.
     """
 
     tokens: int
@@ -147,10 +161,10 @@
 
 
 class Granted(msgspec.Struct, frozen=True, array_like=True, tag='G'):
-    """A reservation or a settlement is done.
+    """A reservation was made or settled.
 
-    ``slack`` is what is left to the program, ``target`` what has most of the
-    prompt in its memory, where these are known.
+    ``slack`` is the remaining slack of the program, ``target`` the one that
+    has cached most of the prompt; both are ``None`` if unknown.
     """
 
     slack: outlook.Slack | None = None
@@ -158,15 +172,19 @@
 
 
 class BudgetExhausted(msgspec.Struct, frozen=True, array_like=True, tag='X'):
-    """The budget does not hold the turn."""
+    """The remaining budget does not cover the turn."""
 
 
 class Pending(msgspec.Struct, frozen=True, array_like=True, tag='P'):
-    """The store has to be asked first; the answer follows."""
+    """The final response follows; it takes a call to the store or a wait."""
 
 
 class Unavailable(msgspec.Struct, frozen=True, array_like=True, tag='U'):
-    """The store could not be asked, or the instance is stopping."""
+    """The request can't be served.
+
+    ``is_store_unavailable`` says that the store is the reason; otherwise the
+    instance is stopping, or the turn was already settled.
+    """
 
     is_store_unavailable: bool
 
@@ -174,8 +192,8 @@
 class ConfigurationVersion(msgspec.Struct, frozen=True, array_like=True):
     """The newest version of the configuration that the sender knows.
 
-    ``address`` is the sender's, ``relay`` where it passes calls on to the
-    store.
+    ``address`` is the sender's for datagrams, ``relay`` the one where it
+    forwards calls to the store.
     """
 
     version: int
@@ -193,5 +211,5 @@
     | LoadResponse
     | LimitStatus
 )
-# Told without an answer; one that is lost does no lasting harm.
+# Not acknowledged; a lost one only makes the load less exact for a time.
 Notification = RequestStarted | RequestEnded
--- a/libs/gateway/vanillayoke/gateway/peers.py
+++ b/libs/gateway/vanillayoke/gateway/peers.py
@@ -1,7 +1,7 @@
-"""Datagrams between instances: membership and questions with answers.
+"""Datagrams between instances: membership, gossip, requests and responses.
 
-Datagrams need no connections, so none can go silent; what is lost is sent
-again by whoever asked.
+Datagrams need no connections, which could become unresponsive. A request whose
+response does not arrive is sent again.
 """
 
 import asyncio
@@ -14,18 +14,18 @@
 from vanillayoke.gateway import peer_messages
 from vanillayoke.scheduling import verdicts
 
-# Kinds of datagrams, the first byte of each.
+# Kinds of datagrams: the first byte of each.
 MEMBERSHIP = b'm'
 REQUEST = b'q'
 RESPONSE = b'a'
 HEALTH_STATE = b'v'
 NOTIFICATION = b'n'
 VERSION = b'c'
-# When a question is sent again. A round trip takes two or three
-# milliseconds between zones; a busy peer some tens. Seconds.
+# How long each copy of a request waits for a response. A round trip between
+# zones takes two or three milliseconds; a busy peer takes some tens.
 RETRY_TIMEOUTS_SECONDS = (0.02, 0.05, 0.08)
-# The same for what would strand tokens where it is lost: a turn's end, and
-# tokens that change hands. A peer that stands still for seconds gets it.
+# For requests whose loss would strand tokens, such as settlements and
+# transfers. They reach a peer that was unresponsive for seconds.
 LONG_RETRY_TIMEOUTS_SECONDS = (
     *RETRY_TIMEOUTS_SECONDS,
     0.2,
@@ -34,37 +34,37 @@
     1.6,
     3.0,
 )
-# Questions that must not take effect twice when they are repeated.
-_ONCE = (
+# Requests that must take effect once only, although they may be repeated.
+_NON_IDEMPOTENT = (
     peer_messages.Settle,
     peer_messages.Transfer,
     peer_messages.HandOver,
     peer_messages.UsageReport,
 )
-# How many answers to such questions are kept for repetitions.
-MOST_KEPT = 2000
+# Responses to these that are kept for repeated requests.
+MAX_KEPT_RESPONSES = 2000
 
 
-class _Envelope(msgspec.Struct, frozen=True, array_like=True):
+class _RequestEnvelope(msgspec.Struct, frozen=True, array_like=True):
     number: int
-    question: peer_messages.Request
+    request: peer_messages.Request
 
 
-class _Reply(msgspec.Struct, frozen=True, array_like=True):
+class _ResponseEnvelope(msgspec.Struct, frozen=True, array_like=True):
     number: int
-    answer: peer_messages.Response
+    response: peer_messages.Response
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_QUESTIONS = msgspec.msgpack.Decoder(_Envelope)
-_ANSWERS = msgspec.msgpack.Decoder(_Reply)
-_NOTES = msgspec.msgpack.Decoder(peer_messages.Notification)
-_VERDICTS = msgspec.msgpack.Decoder(verdicts.Verdict)
+_REQUESTS = msgspec.msgpack.Decoder(_RequestEnvelope)
+_RESPONSES = msgspec.msgpack.Decoder(_ResponseEnvelope)
+_NOTIFICATIONS = msgspec.msgpack.Decoder(peer_messages.Notification)
+_HEALTH_STATES = msgspec.msgpack.Decoder(verdicts.Verdict)
 _VERSIONS = msgspec.msgpack.Decoder(peer_messages.ConfigurationVersion)
 
 
 class Sender(typing.Protocol):
-    """Whatever sends a datagram."""
+    """Sends datagrams."""
 
     def send(self, address: str, data: bytes) -> None:
         """Send data to ``IP:PORT``."""
@@ -78,15 +78,15 @@
 
 
 class Peers:
-    """Asks other instances and answers them."""
+    """Exchanges requests, responses and gossip with other instances."""
 
     def __init__(
         self,
         timer_service: timers.TimerService,
         handle: Handler,
         on_membership: typing.Callable[[bytes, str], None],
-        on_verdict: typing.Callable[[verdicts.Verdict], None],
-        on_note: typing.Callable[[peer_messages.Notification], None],
+        on_health_state: typing.Callable[[verdicts.Verdict], None],
+        on_notification: typing.Callable[[peer_messages.Notification], None],
         on_version: typing.Callable[
             [peer_messages.ConfigurationVersion], None
         ],
@@ -95,175 +95,184 @@
         self._timers = timer_service
         self._handle = handle
         self._on_membership = on_membership
-        self._on_verdict = on_verdict
-        self._on_note = on_note
+        self._on_health_state = on_health_state
+        self._on_notification = on_notification
         self._on_version = on_version
         self._sender: Sender | None = None
-        # Answers to a former process at this address must not fit.
-        self._number = first_number
+        # Differs from the numbers of a former process at this address, whose
+        # responses must not match.
+        self._last_number = first_number
         self._waiting: dict[int, asyncio.Queue[peer_messages.Response]] = {}
-        self._answered: collections.OrderedDict[
+        self._kept_responses: collections.OrderedDict[
             tuple[str, int], peer_messages.Response
         ] = collections.OrderedDict()
-        self._working: dict[tuple[str, int], asyncio.Task] = {}
+        self._running: dict[tuple[str, int], asyncio.Task] = {}
 
     def set_sender(self, sender: Sender) -> None:
-        """Send through this from now on."""
+        """Set what sends the datagrams; nothing is sent without it."""
         self._sender = sender
 
     def send_membership(self, address: str, data: bytes) -> None:
-        """Send a message of the membership."""
+        """Send a membership message."""
         if self._sender is not None:
             self._sender.send(address, MEMBERSHIP + data)
 
     def send_health_state(
-        self, addresses: typing.Iterable[str], verdict: verdicts.Verdict
+        self, addresses: typing.Iterable[str], state: verdicts.Verdict
     ) -> None:
-        """Tell others what is known of a target."""
-        data = HEALTH_STATE + _ENCODER.encode(verdict)
+        """Send the health state of a target to other instances."""
+        data = HEALTH_STATE + _ENCODER.encode(state)
         if self._sender is not None:
             for address in addresses:
                 self._sender.send(address, data)
 
     def send_version(
-        self, address: str, news: peer_messages.ConfigurationVersion
+        self, address: str, version: peer_messages.ConfigurationVersion
     ) -> None:
-        """Tell another instance a version of the configuration."""
+        """Send the newest known version of the configuration."""
         if self._sender is not None:
-            self._sender.send(address, VERSION + _ENCODER.encode(news))
+            self._sender.send(address, VERSION + _ENCODER.encode(version))
 
-    def notify(self, address: str, note: peer_messages.Notification) -> None:
-        """Tell another instance something that needs no answer."""
+    def notify(
+        self, address: str, notification: peer_messages.Notification
+    ) -> None:
+        """Send a notification, which has no response."""
         if self._sender is not None:
-            self._sender.send(address, NOTIFICATION + _ENCODER.encode(note))
+            self._sender.send(
+                address, NOTIFICATION + _ENCODER.encode(notification)
+            )
 
     def receive(self, data: bytes, sender: str) -> None:
-        """Take a datagram."""
-        kind, content = data[:1], data[1:]
+        """Handle a datagram; one that can't be decoded is dropped."""
+        kind, payload = data[:1], data[1:]
         try:
             if kind == MEMBERSHIP:
-                self._on_membership(content, sender)
+                self._on_membership(payload, sender)
             elif kind == NOTIFICATION:
-                self._on_note(_NOTES.decode(content))
+                self._on_notification(_NOTIFICATIONS.decode(payload))
             elif kind == HEALTH_STATE:
-                self._on_verdict(_VERDICTS.decode(content))
+                self._on_health_state(_HEALTH_STATES.decode(payload))
             elif kind == VERSION:
-                self._on_version(_VERSIONS.decode(content))
+                self._on_version(_VERSIONS.decode(payload))
             elif kind == REQUEST:
-                self._take_question(_QUESTIONS.decode(content), sender)
+                self._handle_request(_REQUESTS.decode(payload), sender)
             elif kind == RESPONSE:
-                self._take_answer(_ANSWERS.decode(content))
+                self._handle_response(_RESPONSES.decode(payload))
         except msgspec.DecodeError:
-            # Another version's message, or noise on the port.
+            # From an instance of another version, or not from an instance.
             return
 
     async def send_request(
         self,
         address: str,
-        question: peer_messages.Request,
-        until: float,
-        repeats: typing.Sequence[float] = RETRY_TIMEOUTS_SECONDS,
+        request: peer_messages.Request,
+        deadline: float,
+        retry_timeouts: typing.Sequence[float] = RETRY_TIMEOUTS_SECONDS,
     ) -> peer_messages.Response | None:
-        """Return the answer of a peer; ``None`` if it seems not to be there.
+        """Return the response of a peer, ``None`` if there was none.
 
-        A peer that says that it is at work is waited for until then; it is
-        ``peer_messages.Pending`` if it still is.
-        ``repeats`` says for how long each copy of the question waits.
+        After a ``peer_messages.Pending`` response the final one is awaited
+        until the deadline; ``Pending`` is returned if it does not arrive.
+        ``retry_timeouts`` are the seconds that each copy of the request waits.
         """
-        self._number += 1
-        number = self._number
+        self._last_number += 1
+        number = self._last_number
         queue: asyncio.Queue[peer_messages.Response] = asyncio.Queue()
         self._waiting[number] = queue
-        data = REQUEST + _ENCODER.encode(_Envelope(number, question))
+        data = REQUEST + _ENCODER.encode(_RequestEnvelope(number, request))
         try:
-            return await self._ask(address, data, queue, until, repeats)
+            return await self._send_until_response(
+                address, data, queue, deadline, retry_timeouts
+            )
         finally:
             del self._waiting[number]
 
-    async def _ask(
+    async def _send_until_response(
         self,
         address: str,
         data: bytes,
         queue: asyncio.Queue[peer_messages.Response],
-        until: float,
-        repeats: typing.Sequence[float],
+        deadline: float,
+        retry_timeouts: typing.Sequence[float],
     ) -> peer_messages.Response | None:
         if self._sender is None:
             return None
-        for pause in repeats:
+        for retry_timeout in retry_timeouts:
             self._sender.send(address, data)
             try:
-                async with asyncio.timeout(pause):
-                    answer = await queue.get()
+                async with asyncio.timeout(retry_timeout):
+                    response = await queue.get()
             except TimeoutError:
                 continue
-            if not isinstance(answer, peer_messages.Pending):
-                return answer
-            return await self._await_work(queue, until)
+            if not isinstance(response, peer_messages.Pending):
+                return response
+            return await self._await_final_response(queue, deadline)
         return None
 
-    async def _await_work(
-        self, queue: asyncio.Queue[peer_messages.Response], until: float
+    async def _await_final_response(
+        self, queue: asyncio.Queue[peer_messages.Response], deadline: float
     ) -> peer_messages.Response:
         try:
-            async with asyncio.timeout(until - self._timers.now()):
+            async with asyncio.timeout(deadline - self._timers.now()):
                 while True:
-                    answer = await queue.get()
-                    if not isinstance(answer, peer_messages.Pending):
-                        return answer
+                    response = await queue.get()
+                    if not isinstance(response, peer_messages.Pending):
+                        return response
         except TimeoutError:
             return peer_messages.Pending()
 
-    def _take_question(self, envelope: _Envelope, sender: str) -> None:
+    def _handle_request(self, envelope: _RequestEnvelope, sender: str) -> None:
         key = (sender, envelope.number)
-        if key in self._working:
-            self._reply(sender, envelope.number, peer_messages.Pending())
+        if key in self._running:
+            self._respond(sender, envelope.number, peer_messages.Pending())
             return
-        if key in self._answered:
-            self._reply(sender, envelope.number, self._answered[key])
+        if key in self._kept_responses:
+            self._respond(sender, envelope.number, self._kept_responses[key])
             return
-        answer = self._handle(envelope.question)
-        is_once = isinstance(envelope.question, _ONCE)
-        if not asyncio.iscoroutine(answer):
-            self._give(key, answer, is_once)
+        response = self._handle(envelope.request)
+        is_kept = isinstance(envelope.request, _NON_IDEMPOTENT)
+        if not asyncio.iscoroutine(response):
+            self._finish(key, response, is_kept)
             return
-        self._reply(sender, envelope.number, peer_messages.Pending())
+        self._respond(sender, envelope.number, peer_messages.Pending())
         task = asyncio.get_running_loop().create_task(
-            self._work(key, answer, is_once)
+            self._run(key, response, is_kept)
         )
-        self._working[key] = task
+        self._running[key] = task
 
-    def _give(
+    def _finish(
         self,
         key: tuple[str, int],
-        answer: peer_messages.Response,
-        is_once: bool,
+        response: peer_messages.Response,
+        is_kept: bool,
     ) -> None:
-        if is_once:
-            self._answered[key] = answer
-            while len(self._answered) > MOST_KEPT:
-                self._answered.popitem(last=False)
-        self._reply(*key, answer)
+        if is_kept:
+            self._kept_responses[key] = response
+            while len(self._kept_responses) > MAX_KEPT_RESPONSES:
+                self._kept_responses.popitem(last=False)
+        self._respond(*key, response)
 
-    async def _work(
+    async def _run(
         self,
         key: tuple[str, int],
         work: typing.Coroutine[typing.Any, typing.Any, peer_messages.Response],
-        is_once: bool,
+        is_kept: bool,
     ) -> None:
         try:
-            self._give(key, await work, is_once)
+            self._finish(key, await work, is_kept)
         finally:
-            del self._working[key]
+            del self._running[key]
 
-    def _reply(
-        self, sender: str, number: int, answer: peer_messages.Response
+    def _respond(
+        self, sender: str, number: int, response: peer_messages.Response
     ) -> None:
         if self._sender is not None:
-            data = RESPONSE + _ENCODER.encode(_Reply(number, answer))
+            data = RESPONSE + _ENCODER.encode(
+                _ResponseEnvelope(number, response)
+            )
             self._sender.send(sender, data)
 
-    def _take_answer(self, reply: _Reply) -> None:
-        queue = self._waiting.get(reply.number)
+    def _handle_response(self, envelope: _ResponseEnvelope) -> None:
+        queue = self._waiting.get(envelope.number)
         if queue is not None:
-            queue.put_nowait(reply.answer)
+            queue.put_nowait(envelope.response)
--- a/libs/gateway/vanillayoke/gateway/version_gossip.py
+++ b/libs/gateway/vanillayoke/gateway/version_gossip.py
@@ -1,8 +1,8 @@
-"""Telling other instances which version of the configuration is the newest.
+"""Gossip among the instances about the newest configuration version.
 
-The store may turn an instance away, or be silent to it, while it serves the
-others. Such an instance hears of a new version from them, and reads it through
-the one that told it.
+The store may refuse one instance, or not respond to it, while it serves the
+others. Such an instance learns of a new version by gossip and reads it through
+the instance that announced it.
 """
 
 import random
@@ -15,26 +15,24 @@
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import store as store_module
 
-# How many others are told of a version that is new here; they tell as many.
+# Random peers to which an instance announces a version that is new to it.
 FANOUT = 4
-# One other instance is told each interval, whoever it is: datagrams get lost,
-# and an instance that was cut off has missed some. Seconds.
-INTERVAL = 1.0
-# How long an instance's own way to the store has to bring a version that it
-# has heard of. Seconds.
-HEAD_START = 0.2
-READ_PATIENCE = 0.5
-# How often a version is asked for; the next instance that tells of it starts
-# over.
-MOST_TRIES = 3
+# One random peer is sent the version each interval, since datagrams get lost
+# and an instance that was disconnected has missed some.
+INTERVAL_SECONDS = 1.0
+# Time for the feed of the store to deliver a version learned by gossip.
+FEED_DELAY_SECONDS = 0.2
+READ_TIMEOUT_SECONDS = 0.5
+# Attempts to read a version; the next announcement starts over.
+MAX_READ_ATTEMPTS = 3
 
 
 class VersionGossip:
-    """Spreads versions; reads those that this instance has missed.
+    """Spreads versions, and reads those that this instance has missed.
 
-    ``relay`` is where this instance passes calls on to the store.
-    ``get_version`` returns the version in force here, and ``take`` a reading
-    of the configuration's table.
+    ``relay`` is the address where this instance forwards calls to the store.
+    ``get_version`` returns the version in force here; ``apply`` takes rows
+    read from the configuration's table.
     """
 
     def __init__(
@@ -45,10 +43,10 @@
         store: store_module.StoreClient,
         list_eligible: homes_ranking.ListMembers,
         timer_service: timers.TimerService,
-        source: random.Random,
+        rng: random.Random,
         spawn: typing.Callable[[typing.Coroutine], None],
         get_version: typing.Callable[[], int],
-        take: typing.Callable[[messages.Page], None],
+        apply: typing.Callable[[messages.Page], None],
     ) -> None:
         self._me = me
         self._relay = relay
@@ -56,74 +54,78 @@
         self._store = store
         self._list_eligible = list_eligible
         self._timers = timer_service
-        self._source = source
+        self._rng = rng
         self._spawn = spawn
         self._get_version = get_version
-        self._take = take
+        self._apply = apply
         self._peers: peers_module.Peers | None = None
         self._is_catching_up = False
 
     def set_peers(self, peers: peers_module.Peers) -> None:
-        """Tell other instances through this from now on."""
+        """Set the connection to the other instances."""
         self._peers = peers
 
     def start(self) -> timers.Subscription:
-        """Tell one other instance each interval."""
-        return self._timers.call_every(INTERVAL, lambda: self._spread(1))
+        """Send the version to one random peer each interval."""
+        return self._timers.call_every(
+            INTERVAL_SECONDS, lambda: self._spread(1)
+        )
 
     def publish(self) -> None:
         """Spread the version that has just come into force here."""
         self._spread(FANOUT)
 
-    def receive(self, news: peer_messages.ConfigurationVersion) -> None:
-        """Take what another instance tells, or tell it what is newer."""
+    def receive(self, announced: peer_messages.ConfigurationVersion) -> None:
+        """Read a newer version, or answer an older one with that in force."""
         version = self._get_version()
-        if news.version < version:
-            self._tell(news.address)
-        elif news.version > version and not self._is_catching_up:
+        if announced.version < version:
+            self._send(announced.address)
+        elif announced.version > version and not self._is_catching_up:
             self._is_catching_up = True
-            self._spawn(self._catch_up(news))
+            self._spawn(self._catch_up(announced))
 
     async def _catch_up(
-        self, news: peer_messages.ConfigurationVersion
+        self, announced: peer_messages.ConfigurationVersion
     ) -> None:
         try:
-            await self._timers.sleep(HEAD_START)
-            for _ in range(MOST_TRIES):
-                if self._get_version() >= news.version:
+            await self._timers.sleep(FEED_DELAY_SECONDS)
+            for _ in range(MAX_READ_ATTEMPTS):
+                if self._get_version() >= announced.version:
                     return
-                page = await self._read(news.relay)
+                page = await self._read(announced.relay)
                 if page is not None:
-                    self._take(page)
+                    self._apply(page)
         finally:
             self._is_catching_up = False
 
     async def _read(self, relay: str) -> messages.Page | None:
-        """Read the configuration by the own way, else through the teller."""
+        """Read the configuration directly, else through a relay."""
         try:
-            return await self._store.read(self._table, '', READ_PATIENCE)
+            return await self._store.read(
+                self._table, '', READ_TIMEOUT_SECONDS
+            )
         except store_module.StoreError:
             pass
         try:
             return await self._store.read_via_relay(
-                relay, self._table, READ_PATIENCE
+                relay, self._table, READ_TIMEOUT_SECONDS
             )
         except store_module.StoreError:
             return None
 
     def _spread(self, count: int) -> None:
-        others = [
-            home.address
-            for home in self._list_eligible()
-            if home.instance != self._me.instance
+        addresses = [
+            peer.address
+            for peer in self._list_eligible()
+            if peer.instance != self._me.instance
         ]
-        for address in self._source.sample(others, min(count, len(others))):
-            self._tell(address)
+        for address in self._rng.sample(addresses, min(count, len(addresses))):
+            self._send(address)
 
-    def _tell(self, address: str) -> None:
+    def _send(self, address: str) -> None:
         version = self._get_version()
         if self._peers is not None and version:
-            news = peer_messages.ConfigurationVersion(
+            announced = peer_messages.ConfigurationVersion(
                 version, self._me.peer, self._relay
             )
-            self._peers.send_version(address, news)
+            self._peers.send_version(address, announced)
--- a/tests/gateway/sites.py
+++ b/tests/gateway/sites.py
@@ -73,7 +73,7 @@
     for task in list(front._tasks):
         task.cancel()
     front._upkeep.cancel()
-    front._members._tick.cancel()
+    front._members._probe_timer.cancel()
     for address in [one for one in network.listeners if one[0] == host]:
         del network.listeners[address]
     for address in [one for one in network.sockets if one[0] == host]:
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -368,7 +368,7 @@
         await ledger.reserve(program, MOST, turn, MOST, until, MOST)
         ledger.settle(program, turn, MOST)
         ledger.deposit(program, MOST * 6 // 10)
-    calls = site.fronts['i1']._peers._number
+    calls = site.fronts['i1']._peers._last_number
     questions = [
         peer_messages.Reserve(program, MOST, turn, MOST) for turn in ('p', 'q')
     ]
@@ -380,7 +380,7 @@
         return_exceptions=True,
     )
     case.assertLess(site.timers.now(), until - 2.0)
-    case.assertLess(site.fronts['i1']._peers._number - calls, 30)
+    case.assertLess(site.fronts['i1']._peers._last_number - calls, 30)
     granted = answers.count(ledger_module.Outcome.GRANTED)
     case.assertLessEqual(granted, 1)
 
