--- a/libs/gateway/vanillayoke/gateway/catalog.py
+++ b/libs/gateway/vanillayoke/gateway/catalog.py
@@ -1,20 +1,20 @@
-"""The configuration in force and the targets, as followed in the store.
+"""The configuration in force and the targets, as known from the store.
 
-Pure: rows come in, lookups go out. Versions of rows only grow here, whatever
-order reads and feeds bring them in.
+This is pure logic without I/O. Rows may arrive in any order from reads and
+feeds; older versions of a row are ignored.
 """
 
 import typing
 
 from vanillayoke.gateway import messages
 
-# How long after the store's return a target whose row is missing may be
-# back; rows lapse while the store can't take heartbeats. Seconds.
+# Rows expire while the store accepts no heartbeats. After the recovery of the
+# store, a target whose row is missing is kept for this time.
 LAPSE_GRACE_SECONDS = 2.2
 
 
 class Catalog:
-    """What an instance believes of routes and targets."""
+    """The routes and targets that an instance knows."""
 
     def __init__(self) -> None:
         self.configuration: messages.Configuration | None = None
@@ -23,9 +23,9 @@
         self._versions: dict[str, int] = {}
         self._missing: dict[str, float] = {}
         self._routes: dict[str, list[messages.Route]] = {}
-        # Those that may get work, by service and name, and the same as lists
-        # that are made when asked for. A heartbeat of one of 1,700 targets
-        # must not cost a walk over all.
+        # Targets that may get work, by service and name, and the same as lists
+        # that are built on demand. The cost of a heartbeat must not depend on
+        # the number of targets.
         self._ready: dict[str, dict[str, messages.Target]] = {}
         self._lists: dict[str, list[messages.Target]] = {}
 
@@ -35,9 +35,9 @@
         return 0 if self.configuration is None else self.configuration.version
 
     def put_configuration(self, new: messages.Configuration) -> bool:
-        """Take a configuration over unless it is older; say if it was."""
-        now = self.configuration
-        if now is not None and new.version <= now.version:
+        """Apply a configuration; return False if it isn't newer."""
+        current = self.configuration
+        if current is not None and new.version <= current.version:
             return False
         self.configuration = new
         self._routes = {}
@@ -48,16 +48,16 @@
         return True
 
     def find_route(self, host: str, path: str) -> messages.Route | None:
-        """Return the route of the longest prefix of a path."""
+        """Return the route with the longest matching prefix of a path."""
         for route in self._routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def put_target(self, target: messages.Target, version: int) -> bool:
-        """Take a target's row over unless it is older than the known one.
+        """Apply a target's row unless it is older than the known one.
 
-        Return whether it tells anything new: most are heartbeats.
+        Return whether anything has changed; most rows are heartbeats.
         """
         if version <= self._versions.get(target.name, -1):
             return False
@@ -73,62 +73,65 @@
         return True
 
     def is_restart(self, target: messages.Target) -> bool:
-        """Say whether a row tells of a new process under a known name."""
+        """Return whether a row is of a new process of a known target."""
         known = self._targets.get(target.name)
         return known is not None and known.started != target.started
 
     def mark_target_missing(
-        self, name: str, version: int, until: float | None
+        self, name: str, version: int, deadline: float | None
     ) -> bool:
-        """Note that a target's row has gone.
+        """Record that a target's row was removed.
 
-        Without ``until`` the target is gone at once; else it may still come
-        back until then, and gets work meanwhile.
+        Without a deadline the target is dropped at once. Otherwise it gets
+        work until the deadline, and longer if its row is written again. Return
+        False for unknown targets and for older versions than the known one.
         """
         if version < self._versions.get(name, -1):
             return False
         self._versions[name] = version
         if name not in self._targets:
             return False
-        if until is None:
+        if deadline is None:
             self._drop(name)
         else:
-            self._missing.setdefault(name, until)
+            self._missing.setdefault(name, deadline)
         return True
 
     def replace_targets(
         self,
         rows: typing.Iterable[tuple[messages.Target, int]],
         version: int,
-        until: float | None,
+        deadline: float | None,
     ) -> None:
-        """Take over a whole reading of the table at a version."""
+        """Apply all rows of the table as read at a version."""
         seen = set()
         for target, row_version in rows:
             seen.add(target.name)
             self.put_target(target, row_version)
         for name in set(self._targets) - seen:
-            self.mark_target_missing(name, version, until)
+            self.mark_target_missing(name, version, deadline)
         self.has_read_targets = True
 
     def expire(self, now: float) -> list[str]:
-        """Drop the targets that were missing for too long; name them."""
-        over = [name for name, until in self._missing.items() if now >= until]
-        for name in over:
+        """Drop missing targets whose deadline is over; return their names."""
+        expired = [
+            name for name, deadline in self._missing.items() if now >= deadline
+        ]
+        for name in expired:
             self._drop(name)
-        return over
+        return expired
 
     def list_targets(self, service: str) -> list[messages.Target]:
         """Return the targets of a service that may get new work."""
-        found = self._lists.get(service)
-        if found is None:
-            found = list(self._ready.get(service, {}).values())
-            self._lists[service] = found
-        return found
+        targets = self._lists.get(service)
+        if targets is None:
+            targets = list(self._ready.get(service, {}).values())
+            self._lists[service] = targets
+        return targets
 
     @property
     def target_names(self) -> typing.Collection[str]:
-        """The names of all known targets."""
+        """The names of all known targets, missing and leaving ones too."""
         return self._targets.keys()
 
     def _drop(self, name: str) -> None:
@@ -144,13 +147,16 @@
 
 
 def choose_service(route: messages.Route, point: float) -> str:
-    """Return the service for a point between 0 and 1 of the shares."""
+    """Return the service whose share of the weights contains a point.
+
+    ``point`` is between 0 and 1.
+    """
     total = sum(max(0.0, share.weight) for share in route.shares)
     if total <= 0:
         return route.shares[0].service
-    left = point * total
+    remaining = point * total
     for share in route.shares:
-        left -= max(0.0, share.weight)
-        if left < 0:
+        remaining -= max(0.0, share.weight)
+        if remaining < 0:
             return share.service
     return route.shares[-1].service
--- a/libs/gateway/vanillayoke/gateway/feeds.py
+++ b/libs/gateway/vanillayoke/gateway/feeds.py
@@ -1,4 +1,4 @@
-"""Following a table of the store: a first reading, then its changes."""
+"""Change feeds of the store's tables: a full read, then the changes."""
 
 import asyncio
 import typing
@@ -6,27 +6,27 @@
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import store as store_module
 
-# A connection that went silent is noticed when the longest wait for changes
-# and the patience behind it are over.
-FEED_PATIENCE = 0.4
-READ_TIMEOUT = 1.0
-# Between two tries at the most; the store's return ends the pause.
-RETRY_PAUSE = 0.3
+# An unresponsive connection is detected when the wait for changes and this
+# time are over.
+FEED_TIMEOUT_SECONDS = 0.4
+READ_TIMEOUT_SECONDS = 1.0
+# The pause ends early when the store recovers.
+MAX_RETRY_PAUSE_SECONDS = 0.3
 
 
 class TableFeed:
-    """Follows one table and hands over what it reads.
+    """Reads one table and then its changes.
 
-    ``on_reading`` gets a whole reading, ``on_change`` each changed row. The
-    store is let hold a call for ``wait`` seconds. ``on_current`` is called
-    whenever nothing newer was there.
+    ``on_read`` gets the whole table, ``on_change`` each changed row. The store
+    may hold a call for changes for ``wait`` seconds. ``on_current`` is called
+    after each read and each call for changes, when the rows are up to date.
     """
 
     def __init__(
         self,
         store: store_module.StoreClient,
         table: str,
-        on_reading: typing.Callable[[messages.Page], None],
+        on_read: typing.Callable[[messages.Page], None],
         on_change: typing.Callable[[messages.Row], None],
         wait: float,
         on_current: typing.Callable[[], None] = lambda: None,
@@ -34,36 +34,36 @@
         self._store = store
         self._wait = wait
         self._table = table
-        self._on_reading = on_reading
+        self._on_read = on_read
         self._on_change = on_change
         self._on_current = on_current
         self.loaded = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow the table until cancelled."""
-        position: int | None = None
+        """Read the table and follow its changes until cancelled."""
+        version: int | None = None
         while True:
             try:
-                if position is None:
-                    position = await self._read()
-                position = await self._follow(position)
+                if version is None:
+                    version = await self._read()
+                version = await self._follow(version)
             except store_module.ChangesExpiredError:
-                position = None
+                version = None
             except store_module.StoreError:
-                await self._store.wait_before_retry(RETRY_PAUSE)
+                await self._store.wait_before_retry(MAX_RETRY_PAUSE_SECONDS)
 
     async def _read(self) -> int:
-        page = await self._store.read(self._table, '', READ_TIMEOUT)
-        self._on_reading(page)
+        page = await self._store.read(self._table, '', READ_TIMEOUT_SECONDS)
+        self._on_read(page)
         self._on_current()
         self.loaded.set()
         return page.version
 
-    async def _follow(self, position: int) -> int:
+    async def _follow(self, version: int) -> int:
         page = await self._store.follow(
-            self._table, position, self._wait, FEED_PATIENCE
+            self._table, version, self._wait, FEED_TIMEOUT_SECONDS
         )
         for row in page.rows:
             self._on_change(row)
         self._on_current()
-        return max(position, page.version)
+        return max(version, page.version)
--- a/libs/gateway/vanillayoke/gateway/messages.py
+++ b/libs/gateway/vanillayoke/gateway/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between the parts of a gateway instance.
+"""Data types shared by the modules of a gateway instance.
 
 Times are in seconds, sizes in bytes, lengths of prompts and answers in
 tokens.
@@ -14,7 +14,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be done again with a request of a route."""
+    """Whether requests of a route may be repeated, and whether they stream."""
 
     SAFE = 'safe'
     UNSAFE = 'unsafe'
@@ -22,7 +22,7 @@
 
 
 class Share(typing.NamedTuple):
-    """One of the services that a route's requests are split over."""
+    """The weight of one of the services that share a route's requests."""
 
     service: str
     weight: float
@@ -31,9 +31,10 @@
 class Route(typing.NamedTuple):
     """Where requests of a host and path prefix go, and how.
 
-    ``timeout`` bounds how long a request is held, ``objective`` is the
-    latency that it should be answered in. ``priority`` 0 is the highest.
-    Requests of a public route need no key.
+    ``timeout`` bounds how long a request is held, ``latency_objective`` is the
+    latency that it should be answered in, ``max_gap`` the longest time between
+    the events of a stream. ``priority`` 0 is the highest. Requests of a public
+    route need no key.
     """
 
     name: str
@@ -58,7 +59,7 @@
 
 
 class Engine(typing.NamedTuple):
-    """What all model engines of a service have in common."""
+    """The properties that all model engines of a service have in common."""
 
     slots: int
     cache_tokens: int
@@ -75,11 +76,11 @@
 
 
 class Organisation(typing.NamedTuple):
-    """A customer: its keys open routes, and its programs share a limit.
+    """A customer with its own keys and a limit that its programs share.
 
-    ``rate`` requests a second and ``burst`` on top may run, summed over all
-    instances; a rate of 0 is no limit. ``priority`` goes before that of the
-    routes, unless it is ``None``.
+    The limit over all instances is ``rate`` requests a second plus ``burst``;
+    a rate of 0 means no limit. ``priority`` overrides that of the routes
+    unless it is ``None``.
     """
 
     name: str
@@ -89,7 +90,7 @@
 
 
 class CallerLimits(typing.NamedTuple):
-    """What a caller may send and how long it may take."""
+    """Limits for what a caller sends and how long it takes."""
 
     header_bytes: int
     body_bytes: int
@@ -98,10 +99,10 @@
 
 
 class Configuration(typing.NamedTuple):
-    """One accepted version of what the operator wants.
+    """One accepted version of the operator's configuration.
 
-    ``organisations`` are kept by the digests of their keys. ``None`` means
-    that there are none, and requests need no key.
+    ``organisations`` maps the digests of keys to their organisations. ``None``
+    means that there are none, and that requests need no key.
     """
 
     version: int
@@ -112,11 +113,10 @@
 
 
 class Target(typing.NamedTuple):
-    """One incarnation of a server, as it registered itself.
+    """One process of a server, as it registered itself.
 
-    ``started`` is when its process started, in milliseconds since 1970: a
-    server that crashed may start again under its name, and then holds and
-    knows nothing of before.
+    ``started`` is the start of the process in milliseconds since 1970. It
+    tells a restarted server, which has lost its state, from its predecessor.
     """
 
     name: str
@@ -129,10 +129,10 @@
 
 
 class Program(typing.NamedTuple):
-    """What a request says of the program that it belongs to.
+    """The program of a request, as the request's headers describe it.
 
-    ``time_left`` is how long from now the program should take at most.
-    ``budget`` bounds the tokens that all its turns may generate.
+    ``time_left`` is the time within which the program should end. ``budget``
+    bounds the tokens that all its turns may generate.
     """
 
     name: str
@@ -142,10 +142,10 @@
 
 
 class Call(typing.NamedTuple):
-    """One request of a caller.
+    """A request of a caller.
 
-    ``prefix`` lists the parts of the prompt with their tokens, the request's
-    own part last. ``key`` is the digest of the caller's key, if there is one.
+    ``prefix`` lists the parts of the prompt with their lengths, the request's
+    own part last. ``key`` is the digest of the caller's key, if it sent one.
     """
 
     request: str
@@ -167,9 +167,9 @@
 
 
 class ForwardOptions(typing.NamedTuple):
-    """What the system tells a target beside the caller's own request.
+    """What is added to or removed from a request that is sent to a target.
 
-    ``hides_key`` keeps the caller's key from the target.
+    ``strips_key`` removes the caller's key.
     """
 
     target: str
@@ -182,7 +182,7 @@
 
 
 class Load(typing.NamedTuple):
-    """What a target reports of itself in an answer."""
+    """The load that a target reports with a response."""
 
     running: int
     waiting: int
@@ -190,7 +190,11 @@
 
 
 class ResponseMetadata(typing.NamedTuple):
-    """What the head of a target's answer says beside its status."""
+    """Metadata in the headers of a target's response.
+
+    ``request`` is the id of the request that it answers. ``is_signed`` says
+    that the signature of the target is present.
+    """
 
     request: str | None
     is_not_executed: bool
@@ -199,7 +203,7 @@
 
 
 class RowKey(typing.NamedTuple):
-    """Where a row lies; rows of one part change in one transaction."""
+    """The key of a row; a transaction changes rows of one partition."""
 
     table: str
     partition: str
@@ -207,7 +211,7 @@
 
 
 class Row(typing.NamedTuple):
-    """A row as read; ``value`` is ``None`` for one that was removed."""
+    """A row as read; ``value`` is ``None`` if it was removed."""
 
     where: RowKey
     value: bytes | None
@@ -215,7 +219,10 @@
 
 
 class Transaction(typing.NamedTuple):
-    """Rows to write and remove if ``expected`` versions hold; 0 is absent."""
+    """Rows to write and remove if their versions are as expected.
+
+    Version 0 means that there is no such row.
+    """
 
     expected: tuple[tuple[RowKey, int], ...]
     writes: tuple[tuple[RowKey, bytes], ...] = ()
@@ -223,13 +230,13 @@
 
 
 class Committed(typing.NamedTuple):
-    """A transaction took effect at a version."""
+    """A transaction was committed at a version."""
 
     version: int
 
 
 class Conflict(typing.NamedTuple):
-    """A condition failed; the rows as they are, absent ones left out."""
+    """A version was not as expected; holds the present rows."""
 
     rows: tuple[Row, ...]
 
@@ -244,7 +251,7 @@
 
 
 class StoreSettings(typing.NamedTuple):
-    """Where the store is and what it takes from all instances together."""
+    """The store's address, and its limits for all instances together."""
 
     address: str
     writes_per_second: float
@@ -254,15 +261,15 @@
 
 
 class Bounds(typing.NamedTuple):
-    """Times that the platform holds the system to.
-
-    ``grace`` is how long a process may go on after it was told to stop,
-    ``contact`` how long after a disruption an instance has to have found
-    its way again, ``leaving`` how long a target still serves after it said
-    that it leaves. ``limits`` says how limits of organisations are counted.
-    An instance that could not
-    confirm its configuration for ``revocation`` refuses all keys, if
-    ``is_revocation_strict``.
+    """Time limits that the platform sets.
+
+    ``grace`` is how long a process may run after it was told to stop,
+    ``recovery_timeout`` how long an instance may take to recover from a
+    network failure, ``target_drain_timeout`` how long a target still serves
+    after it said that it leaves. ``max_address_ttl`` bounds how long callers
+    may cache addresses. ``limits`` says how the limits of organisations are
+    counted. If ``is_revocation_strict``, an instance that has not been able to
+    confirm its configuration for ``revocation_timeout`` refuses all keys.
     """
 
     grace: float
@@ -275,7 +282,7 @@
 
 
 class Settings(typing.NamedTuple):
-    """What an instance is told at its start; addresses are ``IP:PORT``.
+    """The settings of an instance; addresses are ``IP:PORT``.
 
     ``is_first_start`` says that the whole system starts for the first time.
     """
@@ -294,7 +301,7 @@
 
 
 class InstanceRow(msgspec.Struct, frozen=True, kw_only=True):
-    """How an instance makes itself known to the others in the store."""
+    """The row that announces an instance; encoded as JSON by field names."""
 
     instance: str
     incarnation: int
--- a/libs/gateway/vanillayoke/gateway/table_sync.py
+++ b/libs/gateway/vanillayoke/gateway/table_sync.py
@@ -1,4 +1,4 @@
-"""The tables that an instance follows, and its own row in one of them."""
+"""Keeps the catalog and the membership in sync with the store's tables."""
 
 import typing
 
@@ -14,15 +14,15 @@
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import store as store_module
 
-# The store is asked to hold a call for this share of the time in which an
-# instance has to have found its way again after a connection went silent.
-WAIT_SHARE = 0.8
-PUBLISH_TIMEOUT = 1.0
-PUBLISH_PAUSE = 0.1
+# How long the store may hold a call for changes, as a ratio of the time within
+# which an instance must recover from an unresponsive connection.
+WAIT_RATIO = 0.8
+PUBLISH_TIMEOUT_SECONDS = 1.0
+PUBLISH_RETRY_PAUSE_SECONDS = 0.1
 
 
 class TableSync:
-    """Keeps the catalogue and the members up with the store."""
+    """Applies the rows of the configuration, target and instance tables."""
 
     def __init__(
         self,
@@ -45,55 +45,59 @@
         self._members = members
         self._timers = timer_service
         self._log = log
-        wait = bounds.recovery_timeout * WAIT_SHARE
+        wait = bounds.recovery_timeout * WAIT_RATIO
 
-        def follow(table, on_reading, on_change):
-            return feeds.TableFeed(store, table, on_reading, on_change, wait)
+        def make_feed(table, on_read, on_change):
+            return feeds.TableFeed(store, table, on_read, on_change, wait)
 
         self._configuration = feeds.TableFeed(
             store,
             dialect.configuration_table,
             self.apply_configuration,
             self._change_configuration,
-            min(wait, bounds.revocation_timeout * WAIT_SHARE),
+            min(wait, bounds.revocation_timeout * WAIT_RATIO),
             on_confirmed,
         )
-        self._targets = follow(
+        self._targets = make_feed(
             dialect.target_table, self._read_targets, self._change_target
         )
-        self._instances = follow(
+        self._instances = make_feed(
             members_module.TABLE, self._read_instances, self._change_instance
         )
 
     def start(self, spawn: typing.Callable[[typing.Coroutine], None]) -> None:
-        """Begin to follow."""
+        """Start the feeds."""
         spawn(self._store.watch_availability())
-        for one in (self._configuration, self._targets, self._instances):
-            spawn(one.run())
+        for feed in (self._configuration, self._targets, self._instances):
+            spawn(feed.run())
 
     async def wait_until_loaded(self) -> None:
-        """Return when routes and targets are known."""
+        """Return when configuration, targets and instances have been read."""
         while self._catalog.configuration is None:
             await self._timers.sleep(0.01)
         await self._targets.loaded.wait()
         await self._instances.loaded.wait()
 
     async def publish_instance(self, row: messages.InstanceRow) -> None:
-        """Make an instance known; tries until it has worked."""
-        where = messages.RowKey(members_module.TABLE, '', row.instance)
+        """Write an instance's row; retry until it succeeds."""
+        key = messages.RowKey(members_module.TABLE, '', row.instance)
         value = msgspec.json.encode(row)
-        transaction = messages.Transaction((), ((where, value),))
+        transaction = messages.Transaction((), ((key, value),))
         while True:
             try:
-                await self._store.transact(transaction, PUBLISH_TIMEOUT)
+                await self._store.transact(
+                    transaction, PUBLISH_TIMEOUT_SECONDS
+                )
                 return
             except store_module.StoreError:
-                await self._store.wait_before_retry(PUBLISH_PAUSE)
+                await self._store.wait_before_retry(
+                    PUBLISH_RETRY_PAUSE_SECONDS
+                )
 
     # Configuration
 
     def apply_configuration(self, page: messages.Page) -> None:
-        """Take a reading of the configuration's table."""
+        """Apply the rows of the configuration's table."""
         for row in page.rows:
             self._change_configuration(row)
 
@@ -103,46 +107,48 @@
         if row.value is None:
             return
         try:
-            found = self._dialect.decode_configuration(row.value)
+            configuration = self._dialect.decode_configuration(row.value)
         except dialect_module.BadRowError as error:
             self._reject(row, error)
             return
-        if self._catalog.put_configuration(found):
+        if self._catalog.put_configuration(configuration):
             self._log.write(
                 log_events.ROUTES_CHANGED,
-                version=found.version,
-                routes=len(found.routes),
+                version=configuration.version,
+                routes=len(configuration.routes),
             )
             self._on_configuration()
 
     # Targets
 
     def _read_targets(self, page: messages.Page) -> None:
-        found = []
+        targets = []
         for row in page.rows:
             target = self._decode_target(row)
             if target is None:
-                self._drop_spoiled(row)
+                self._drop_unreadable(row)
                 continue
-            self._note_restart(target)
-            found.append((target, row.version))
-        self._catalog.replace_targets(found, page.version, self._find_grace())
+            self._report_restart(target)
+            targets.append((target, row.version))
+        self._catalog.replace_targets(
+            targets, page.version, self._find_grace_deadline()
+        )
 
     def _change_target(self, row: messages.Row) -> None:
         if row.value is None:
             state = 'gone'
             service = None
             changed = self._catalog.mark_target_missing(
-                row.where.key, row.version, self._find_grace()
+                row.where.key, row.version, self._find_grace_deadline()
             )
         else:
             target = self._decode_target(row)
             if target is None:
-                self._drop_spoiled(row)
+                self._drop_unreadable(row)
                 return
             state = 'leaving' if target.is_leaving else 'ready'
             service = target.service
-            self._note_restart(target)
+            self._report_restart(target)
             changed = self._catalog.put_target(target, row.version)
         if changed:
             self._log.write(
@@ -160,31 +166,31 @@
             self._reject(row, error)
             return None
 
-    def _drop_spoiled(self, row: messages.Row) -> None:
-        """Stop using the server in whose place another writer's row is.
+    def _drop_unreadable(self, row: messages.Row) -> None:
+        """Drop a target whose row can't be decoded.
 
-        It has not lapsed, so it is not waited for: it names nobody until the
-        server writes its own again.
+        Another writer has overwritten the row, so there is no grace as for an
+        expired row; the target is used again once it writes its own row.
         """
         self._catalog.mark_target_missing(row.where.key, row.version, None)
 
-    def _note_restart(self, target: messages.Target) -> None:
-        """Tell of a server that has started again under its name."""
+    def _report_restart(self, target: messages.Target) -> None:
+        """Report a target that has restarted under its name."""
         if self._catalog.is_restart(target):
             self._on_restart(target)
 
-    def _find_grace(self) -> float | None:
-        """Return until when a missing row may come back; ``None`` if not.
+    def _find_grace_deadline(self) -> float | None:
+        """Return the deadline of missing rows, ``None`` if they get no grace.
 
-        Rows lapse while the store takes no heartbeats, as a whole or in
-        the part that they lie in, and are written again soon after.
+        Rows expire while the store, or the partition that they lie in, accepts
+        no heartbeats, and are written again after its recovery.
         """
         availability = self._store.availability
-        troubled = max(
+        last_outage_at = max(
             availability.recovered_at, availability.correlated_failure_at
         )
-        until = troubled + catalog_module.LAPSE_GRACE_SECONDS
-        return until if self._timers.now() < until else None
+        deadline = last_outage_at + catalog_module.LAPSE_GRACE_SECONDS
+        return deadline if self._timers.now() < deadline else None
 
     # Instances
 
--- a/tests/gateway/test_catalog.py
+++ b/tests/gateway/test_catalog.py
@@ -35,7 +35,7 @@
 def test_heartbeat_ends_a_lapse(case, catalog):
     """A row that had lapsed is written again, the same as before."""
     catalog.put_target(_make('a'), 1)
-    catalog.mark_target_missing('a', 2, until=10.0)
+    catalog.mark_target_missing('a', 2, deadline=10.0)
     case.assertTrue(catalog.put_target(_make('a'), 3))
     case.assertEqual([], catalog.expire(20.0))
     case.assertEqual(['a'], _names(catalog))
