--- a/libs/gateway/vanillayoke/gateway/health_gossip.py
+++ b/libs/gateway/vanillayoke/gateway/health_gossip.py
@@ -1,12 +1,11 @@
 """Gossip among the instances about the health states of targets."""
 
-import random
-
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
-from vanillayoke.gateway import notes as notes_module
+from vanillayoke.gateway import instrumentation as instrumentation_module
 from vanillayoke.gateway import peers as peers_module
-from vanillayoke.scheduling import verdicts as verdicts_module
+from vanillayoke.gateway import rendezvous
+from vanillayoke.scheduling import shared_health as shared_health_module
+import random
 
 # Random peers to which an instance forwards a state that is new to it. With
 # four, a state reaches nearly all instances within a few hops.
@@ -19,18 +18,18 @@
     def __init__(
         self,
         instance: str,
-        verdicts: verdicts_module.Verdicts,
-        list_eligible: homes_ranking.ListMembers,
+        verdicts: shared_health_module.SharedHealth,
+        list_eligible: rendezvous.ListPeers,
         timer_service: timers.TimerService,
         rng: random.Random,
-        notes: notes_module.Notes,
+        instrumentation: instrumentation_module.Instrumentation,
     ) -> None:
         self._instance = instance
         self._verdicts = verdicts
         self._list_eligible = list_eligible
         self._timers = timer_service
         self._rng = rng
-        self._notes = notes
+        self._instrumentation = instrumentation
         self._peers: peers_module.Peers | None = None
 
     def set_peers(self, peers: peers_module.Peers) -> None:
@@ -41,26 +40,26 @@
         """Return the number of instances, of which a quorum has to agree."""
         return len(self._list_eligible())
 
-    def publish(self, state: verdicts_module.Verdict) -> None:
+    def publish(self, state: shared_health_module.HealthState) -> None:
         """Spread a state that this instance has found out."""
-        self._notes.note_verdict(state)
+        self._instrumentation.record_health_state(state)
         self._spread(state)
 
-    def receive(self, state: verdicts_module.Verdict) -> None:
+    def receive(self, state: shared_health_module.HealthState) -> None:
         """Merge a state of another instance, and forward it if it was new.
 
         It is logged only if it changes whether the target counts as unhealthy.
         """
         count = self.count_instances()
-        was_unhealthy = self._verdicts.is_sick(state.target, count)
+        was_unhealthy = self._verdicts.is_unhealthy(state.target, count)
         merged = self._verdicts.merge(state, self._timers.now(), count)
         if merged is None:
             return
-        if self._verdicts.is_sick(state.target, count) != was_unhealthy:
-            self._notes.note_verdict(merged)
+        if self._verdicts.is_unhealthy(state.target, count) != was_unhealthy:
+            self._instrumentation.record_health_state(merged)
         self._spread(merged)
 
-    def _spread(self, state: verdicts_module.Verdict) -> None:
+    def _spread(self, state: shared_health_module.HealthState) -> None:
         addresses = [
             peer.address
             for peer in self._list_eligible()
--- a/libs/gateway/vanillayoke/gateway/histories.py
+++ b/libs/gateway/vanillayoke/gateway/histories.py
@@ -5,7 +5,7 @@
 
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import parts
+from vanillayoke.gateway import partitions
 from vanillayoke.gateway import retries
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import transcripts
@@ -17,7 +17,7 @@
 # The parts that a turn's rows may lie in. While a third of the parts are
 # down, one turn in thirty finds none of three; one in three has to wait where
 # there is but one. A turn that no place has takes as many reads.
-PLACES = 3
+CANDIDATE_PARTITION_COUNT = 3
 # A transaction takes 1 MB as it travels; rows of longer turns go in several.
 BATCH_BYTES = 512 * 1024
 
@@ -65,7 +65,7 @@
         self._remember(turn, text)
         return text
 
-    async def keep(
+    async def save(
         self,
         turn: str,
         base: str,
@@ -107,22 +107,22 @@
         pause. Raise the last ``StoreError`` when the time is over or, unless
         ``is_patient``, when the whole store is out of reach.
         """
-        places = parts.list_places(turn, PLACES)
-        pause = retries.FIRST_PAUSE
+        places = partitions.list_candidates(turn, CANDIDATE_PARTITION_COUNT)
+        pause = retries.INITIAL_BACKOFF_SECONDS
         while True:
             for part in sorted(places, key=self._store.has_recent_failure):
                 left = until - self._timers.now()
-                patience = min(left, retries.find_patience(self._store))
+                patience = min(left, retries.compute_timeout(self._store))
                 try:
                     return await work(
-                        part, max(retries.SHORTEST_TRY, patience)
+                        part, max(retries.MIN_ATTEMPT_SECONDS, patience)
                     )
                 except store_module.StoreError as error:
                     failure = error
-            pause = min(retries.LONGEST_PAUSE, pause * 2)
+            pause = min(retries.MAX_BACKOFF_SECONDS, pause * 2)
             left = until - self._timers.now()
             is_hopeless = self._store.is_unreachable and not is_patient
-            if is_hopeless or left <= retries.SHORTEST_TRY:
+            if is_hopeless or left <= retries.MIN_ATTEMPT_SECONDS:
                 raise failure
             await self._store.wait_before_retry(min(pause, left))
 
@@ -157,7 +157,7 @@
             if stored is not None:
                 return stored
             absent.add(part)
-            if len(absent) == PLACES:
+            if len(absent) == CANDIDATE_PARTITION_COUNT:
                 raise UnknownTurnError(turn)
             raise store_module.StoreRefusedError(
                 f'turn {turn} is not in all places'
@@ -173,7 +173,7 @@
         Reads may lag behind what is committed; a transaction that expects
         the row to be absent does not, and shows the row if it is there.
         """
-        end = transcripts.get_key_end(turn)
+        end = transcripts.get_range_end(turn)
         page = await self._store.read(TABLE, part, patience, turn, end)
         stored = _decode(turn, page.rows)
         if stored is not None:
@@ -202,8 +202,8 @@
 ) -> transcripts.StoredTurn | None:
     rows = {row.where.key: row.value for row in found}
     try:
-        return transcripts.read_rows(turn, rows)
-    except transcripts.BrokenTurnError as error:
+        return transcripts.decode_rows(turn, rows)
+    except transcripts.CorruptTurnError as error:
         raise store_module.StoreOutcomeUnknownError(str(error)) from error
 
 
--- a/libs/gateway/vanillayoke/gateway/load_queries.py
+++ b/libs/gateway/vanillayoke/gateway/load_queries.py
@@ -5,16 +5,15 @@
 datagrams about them.
 """
 
-import asyncio
-import typing
-
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
+from vanillayoke.gateway import rendezvous
+from vanillayoke.scheduling import load_counts
 from vanillayoke.scheduling import occupancy
-from vanillayoke.scheduling import tallies
+import asyncio
+import typing
 
 # A round trip between zones takes two milliseconds. Without a response the
 # local view of the load is used, which costs less than waiting longer.
@@ -27,15 +26,15 @@
     def __init__(
         self,
         instance: str,
-        list_eligible: homes_ranking.ListMembers,
+        list_eligible: rendezvous.ListPeers,
         timer_service: timers.TimerService,
     ) -> None:
         self._instance = instance
         self._list_eligible = list_eligible
         self._timers = timer_service
-        self._tallies = tallies.Tallies()
+        self._tallies = load_counts.LoadCounts()
         self._peers: peers_module.Peers | None = None
-        self._eligible: typing.Sequence[homes_ranking.HomeMember] = ()
+        self._eligible: typing.Sequence[rendezvous.Peer] = ()
         # Coordinators' addresses by target, None for this instance.
         self._coordinators: dict[str, str | None] = {}
 
@@ -44,16 +43,16 @@
         self._peers = peers
 
     async def query(
-        self, places: typing.Iterable[occupancy.Place]
-    ) -> dict[str, tallies.Load]:
+        self, places: typing.Iterable[occupancy.Candidate]
+    ) -> dict[str, load_counts.Load]:
         """Return the loads of targets whose coordinators respond in time."""
-        loads: dict[str, tallies.Load] = {}
+        loads: dict[str, load_counts.Load] = {}
         queries = []
         for place in places:
             address = self._find_coordinator(place.name, place.zone)
             if address is None:
                 now = self._timers.now()
-                loads[place.name] = self._tallies.find_load(place.name, now)
+                loads[place.name] = self._tallies.get_load(place.name, now)
             else:
                 queries.append(self._query(address, place.name, loads))
         if queries:
@@ -61,7 +60,7 @@
         return loads
 
     async def _query(
-        self, address: str, target: str, loads: dict[str, tallies.Load]
+        self, address: str, target: str, loads: dict[str, load_counts.Load]
     ) -> None:
         response = await self._peers.send_request(
             address,
@@ -70,7 +69,7 @@
             (QUERY_TIMEOUT_SECONDS,),
         )
         if isinstance(response, peer_messages.LoadResponse):
-            loads[target] = tallies.Load(
+            loads[target] = load_counts.Load(
                 response.requests, response.latency_ratio
             )
 
@@ -90,7 +89,7 @@
         reported_count: int | None,
         latency_ratio: float | None,
     ) -> None:
-        """Record that a request has ended; see ``tallies.Tallies.end``."""
+        """Record that a request has ended; see ``LoadCounts.end``."""
         notification = peer_messages.RequestEnded(
             target.name, request, reported_count, latency_ratio
         )
@@ -113,17 +112,17 @@
         self, request: peer_messages.LoadQuery
     ) -> peer_messages.LoadResponse:
         """Return the load for a query of another instance."""
-        load = self._tallies.find_load(request.target, self._timers.now())
-        return peer_messages.LoadResponse(load.requests, load.slowness)
+        load = self._tallies.get_load(request.target, self._timers.now())
+        return peer_messages.LoadResponse(load.requests, load.latency_ratio)
 
     def retain(self, targets: typing.Container[str]) -> None:
         """Drop what is known of targets other than these."""
-        self._tallies.forget(targets)
+        self._tallies.retain(targets)
         self._coordinators.clear()
 
     def handle_restart(self, target: str) -> None:
         """Drop the requests of a target that has restarted."""
-        self._tallies.drop(target)
+        self._tallies.reset(target)
 
     def _notify_coordinator(
         self, target: messages.Target, notification: peer_messages.Notification
@@ -149,7 +148,7 @@
         addresses = {
             peer.instance: peer.address for peer in local or self._eligible
         }
-        instance = homes_ranking.find_first(target, addresses)
+        instance = rendezvous.find_highest(target, addresses)
         return (
             None if instance in (None, self._instance) else addresses[instance]
         )
--- a/libs/gateway/vanillayoke/gateway/members.py
+++ b/libs/gateway/vanillayoke/gateway/members.py
@@ -1,18 +1,16 @@
 """Membership of the instances: datagram probes and the store's table."""
 
-import random
-import typing
-
-import msgspec
-
 from vanillayoke.cluster import membership
 from vanillayoke.cluster import membership_events
 from vanillayoke.cluster import membership_table
 from vanillayoke.cluster import messages as cluster_messages
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import messages
+from vanillayoke.gateway import rendezvous
 from vanillayoke.settings import process
+import msgspec
+import random
+import typing
 
 TABLE = 'instances'
 # A failed instance is detected within about two seconds: another instance
@@ -81,7 +79,7 @@
         self.is_leaving = False
         # Built on demand, as membership changes far more often than it is read
         # while many instances start.
-        self._eligible: tuple[homes_ranking.HomeMember, ...] | None = None
+        self._eligible: tuple[rendezvous.Peer, ...] | None = None
 
     def start(self) -> None:
         """Start probing."""
@@ -120,7 +118,7 @@
         alive = cluster_messages.State.ALIVE
         return [m for m in self.list_members() if m.state is alive]
 
-    def list_eligible(self) -> typing.Sequence[homes_ranking.HomeMember]:
+    def list_eligible(self) -> typing.Sequence[rendezvous.Peer]:
         """Return the instances that are eligible as coordinators.
 
         The same sequence object is returned until the membership changes.
@@ -133,11 +131,11 @@
             )
         return self._eligible
 
-    def list_live_eligible(self) -> list[homes_ranking.HomeMember]:
+    def list_live_eligible(self) -> list[rendezvous.Peer]:
         """Return the eligible instances that are known to be alive."""
         return [_make_peer(member) for member in self.list_live()]
 
-    def list_reachable(self) -> list[homes_ranking.HomeMember]:
+    def list_reachable(self) -> list[rendezvous.Peer]:
         """Return the instances that are alive, suspected or leaving.
 
         Leaving instances are no longer eligible as coordinators, but still
@@ -149,7 +147,7 @@
             if member.state in _REACHABLE
         ]
 
-    def list_failed(self) -> list[homes_ranking.HomeMember]:
+    def list_failed(self) -> list[rendezvous.Peer]:
         """Return the failed instances, which may recover."""
         failed = cluster_messages.State.FAILED
         return [
@@ -252,7 +250,5 @@
     return member.state is cluster_messages.State.ALIVE
 
 
-def _make_peer(member: cluster_messages.Member) -> homes_ranking.HomeMember:
-    return homes_ranking.HomeMember(
-        member.instance, member.peer_address, member.zone
-    )
+def _make_peer(member: cluster_messages.Member) -> rendezvous.Peer:
+    return rendezvous.Peer(member.instance, member.peer_address, member.zone)
--- a/libs/gateway/vanillayoke/gateway/peer_messages.py
+++ b/libs/gateway/vanillayoke/gateway/peer_messages.py
@@ -3,11 +3,9 @@
 Structs are encoded as arrays with a tag, so only the order of fields matters.
 """
 
-import msgspec
-
-from vanillayoke.scheduling import outlook
+from vanillayoke.scheduling import program_slack
 from vanillayoke.scheduling import quotas
-
+import msgspec
 
 class Reserve(msgspec.Struct, frozen=True, array_like=True, tag='R'):
     """Reserve the tokens that a turn may generate from its program's budget.
@@ -167,7 +165,7 @@
     has cached most of the prompt; both are ``None`` if unknown.
     """
 
-    slack: outlook.Slack | None = None
+    slack: program_slack.Slack | None = None
     target: str | None = None
 
 
--- a/libs/gateway/vanillayoke/gateway/peers.py
+++ b/libs/gateway/vanillayoke/gateway/peers.py
@@ -4,15 +4,13 @@
 response does not arrive is sent again.
 """
 
+from vanillayoke.core import timers
+from vanillayoke.gateway import peer_messages
+from vanillayoke.scheduling import shared_health
 import asyncio
 import collections
-import typing
-
 import msgspec
-
-from vanillayoke.core import timers
-from vanillayoke.gateway import peer_messages
-from vanillayoke.scheduling import verdicts
+import typing
 
 # Kinds of datagrams: the first byte of each.
 MEMBERSHIP = b'm'
@@ -59,7 +57,7 @@
 _REQUESTS = msgspec.msgpack.Decoder(_RequestEnvelope)
 _RESPONSES = msgspec.msgpack.Decoder(_ResponseEnvelope)
 _NOTIFICATIONS = msgspec.msgpack.Decoder(peer_messages.Notification)
-_HEALTH_STATES = msgspec.msgpack.Decoder(verdicts.Verdict)
+_HEALTH_STATES = msgspec.msgpack.Decoder(shared_health.HealthState)
 _VERSIONS = msgspec.msgpack.Decoder(peer_messages.ConfigurationVersion)
 
 
@@ -85,7 +83,7 @@
         timer_service: timers.TimerService,
         handle: Handler,
         on_membership: typing.Callable[[bytes, str], None],
-        on_health_state: typing.Callable[[verdicts.Verdict], None],
+        on_health_state: typing.Callable[[shared_health.HealthState], None],
         on_notification: typing.Callable[[peer_messages.Notification], None],
         on_version: typing.Callable[
             [peer_messages.ConfigurationVersion], None
@@ -118,7 +116,8 @@
             self._sender.send(address, MEMBERSHIP + data)
 
     def send_health_state(
-        self, addresses: typing.Iterable[str], state: verdicts.Verdict
+        self,
+        addresses: typing.Iterable[str], state: shared_health.HealthState,
     ) -> None:
         """Send the health state of a target to other instances."""
         data = HEALTH_STATE + _ENCODER.encode(state)
--- a/libs/soak/vanillayoke/soak/demo.py
+++ b/libs/soak/vanillayoke/soak/demo.py
@@ -15,8 +15,8 @@
 import tempfile
 import typing
 
-from vanillayoke.core import stories
-from vanillayoke.gateway import homes_ranking
+from vanillayoke.core import request_logs
+from vanillayoke.gateway import rendezvous
 from vanillayoke.programs import scopes
 from vanillayoke.soak import callers as callers_module
 from vanillayoke.soak import checks
@@ -124,11 +124,11 @@
     def _find_home(self) -> str:
         """Return the instance that keeps the program's budget."""
         members = [
-            homes_ranking.HomeMember(child.name, host)
+            rendezvous.Peer(child.name, host)
             for host, child in self.site.instances.items()
         ]
         program = scopes.qualify(ORGANISATION, PROGRAM)
-        return homes_ranking.find_home(program, members).address
+        return rendezvous.find_coordinator(program, members).address
 
     def _find_server(self) -> str:
         """Return the instance that the newest turn was sent to."""
@@ -208,10 +208,10 @@
         """Print the program's story from the logs of all instances."""
         lines = []
         for path in sorted(self._folder.glob('i*.log')):
-            lines += stories.read_lines(path.read_text().splitlines())
-        for text in stories.format_story(stories.select_story(lines, PROGRAM))[
-            :STORY_LINES
-        ]:
+            lines += request_logs.parse_lines(path.read_text().splitlines())
+        for text in request_logs.format_lines(
+            request_logs.select_lines(lines, PROGRAM)
+        )[:STORY_LINES]:
             print(text)
 
 
