--- a/libs/gateway/vanillayoke/gateway/health_gossip.py
+++ b/libs/gateway/vanillayoke/gateway/health_gossip.py
@@ -1,11 +1,12 @@
 """Gossip among the instances about the health states of targets."""
 
+import random
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import instrumentation as instrumentation_module
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import shared_health as shared_health_module
-import random
 
 # Random peers to which an instance forwards a state that is new to it. With
 # four, a state reaches nearly all instances within a few hops.
--- a/libs/gateway/vanillayoke/gateway/load_queries.py
+++ b/libs/gateway/vanillayoke/gateway/load_queries.py
@@ -5,6 +5,9 @@
 datagrams about them.
 """
 
+import asyncio
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
@@ -12,8 +15,6 @@
 from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import load_counts
 from vanillayoke.scheduling import occupancy
-import asyncio
-import typing
 
 # A round trip between zones takes two milliseconds. Without a response the
 # local view of the load is used, which costs less than waiting longer.
--- a/libs/gateway/vanillayoke/gateway/members.py
+++ b/libs/gateway/vanillayoke/gateway/members.py
@@ -1,5 +1,10 @@
 """Membership of the instances: datagram probes and the store's table."""
 
+import random
+import typing
+
+import msgspec
+
 from vanillayoke.cluster import membership
 from vanillayoke.cluster import membership_events
 from vanillayoke.cluster import membership_table
@@ -8,9 +13,6 @@
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import rendezvous
 from vanillayoke.settings import process
-import msgspec
-import random
-import typing
 
 TABLE = 'instances'
 # A failed instance is detected within about two seconds: another instance
--- a/libs/gateway/vanillayoke/gateway/peer_messages.py
+++ b/libs/gateway/vanillayoke/gateway/peer_messages.py
@@ -3,9 +3,11 @@
 Structs are encoded as arrays with a tag, so only the order of fields matters.
 """
 
+import msgspec
+
 from vanillayoke.scheduling import program_slack
 from vanillayoke.scheduling import quotas
-import msgspec
+
 
 class Reserve(msgspec.Struct, frozen=True, array_like=True, tag='R'):
     """Reserve the tokens that a turn may generate from its program's budget.
--- a/libs/gateway/vanillayoke/gateway/peers.py
+++ b/libs/gateway/vanillayoke/gateway/peers.py
@@ -4,14 +4,16 @@
 response does not arrive is sent again.
 """
 
-from vanillayoke.core import timers
-from vanillayoke.gateway import peer_messages
-from vanillayoke.scheduling import shared_health
 import asyncio
 import collections
-import msgspec
 import typing
 
+import msgspec
+
+from vanillayoke.core import timers
+from vanillayoke.gateway import peer_messages
+from vanillayoke.scheduling import shared_health
+
 # Kinds of datagrams: the first byte of each.
 MEMBERSHIP = b'm'
 REQUEST = b'q'
@@ -117,7 +119,8 @@
 
     def send_health_state(
         self,
-        addresses: typing.Iterable[str], state: shared_health.HealthState,
+        addresses: typing.Iterable[str],
+        state: shared_health.HealthState,
     ) -> None:
         """Send the health state of a target to other instances."""
         data = HEALTH_STATE + _ENCODER.encode(state)
--- a/libs/gateway/vanillayoke/gateway/version_gossip.py
+++ b/libs/gateway/vanillayoke/gateway/version_gossip.py
@@ -5,14 +5,15 @@
 the instance that announced it.
 """
 
+import random
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import rendezvous
 from vanillayoke.gateway import store as store_module
-import random
-import typing
 
 # Random peers to which an instance announces a version that is new to it.
 FANOUT = 4
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -5,14 +5,16 @@
 quarters of another shows soonest what is lost on the way.
 """
 
+import asyncio
+
+import msgspec
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers
 from vanillayoke.gateway import store as store_client
 from vanillayoke.testing import fixtures
-import asyncio
-import msgspec
 
 BUDGET = 175
 MOST = 100
