--- a/libs/gateway/vanillayoke/gateway/availability.py
+++ b/libs/gateway/vanillayoke/gateway/availability.py
@@ -1,59 +1,60 @@
-"""Whether the store serves this instance, from how its calls end. Pure.
+"""Tracks from the results of calls whether the store serves this instance.
 
-The store may fail as a whole, for some instances, or for some of the parts
-of its tables. Calls to the parts that work must go on in the last case, so
-what counts is how many parts fail with no success between.
+This is pure logic without I/O. The store may fail as a whole, for some
+instances, or for some partitions of its tables. Calls to the partitions that
+work must go on in the last case, so the store counts as unavailable when
+several partitions fail without a success in between.
 """
 
 import collections
 
-# So many parts have to fail in a row before the store counts as away. While
-# a third of the parts are down, one sequence in thirty of calls to three of
-# them fails; a probe then finds one that works within milliseconds.
-AWAY_PARTS = 3
-# A part that failed is asked last for this long, where another part will
-# do. Seconds.
-SUSPICION = 0.5
-# A part that failed while others worked says nothing new of the whole store
-# when it fails again, until it has been left in peace for so long. Seconds.
-KNOWN_BAD = 3.0
-# Two parts that fail within this time show a disturbance, where one may have
-# had a call lost on the way. Seconds.
-AGREEMENT = 1.0
-# Outages of which the length is remembered.
-MOST_OUTAGES = 8
+# Different partitions that fail without a success in between before the store
+# counts as unavailable. A wrong result while only some partitions are down is
+# corrected by the next probe that meets a working one.
+UNAVAILABLE_PARTITION_COUNT = 3
+# A partition that failed is the last choice for this time.
+RECENT_FAILURE_SECONDS = 0.5
+# A partition that failed while others worked does not count towards an outage
+# until it has not failed for this time.
+KNOWN_FAILURE_SECONDS = 3.0
+# Failures of two partitions within this time are correlated; a single failure
+# may be one lost call.
+CORRELATION_SECONDS = 1.0
+MAX_OUTAGE_COUNT = 8
 
 
 class Availability:
-    """Takes how calls end and says what may be expected of the next."""
+    """Records the results of calls and tells what to expect of the next."""
 
     def __init__(self) -> None:
         self.is_unavailable = False
         self.unavailable_since = float('-inf')
         self.recovered_at = float('-inf')
-        # When a call was last answered.
-        self._answered_at = float('-inf')
-        # When parts were last seen to fail together.
+        # When the last successful call ended.
+        self._succeeded_at = float('-inf')
+        # When several partitions last failed within a short time.
         self.correlated_failure_at = float('-inf')
-        # How long the last outages lasted, in seconds.
+        # In seconds, the latest last.
         self.outage_durations: collections.deque[float] = collections.deque(
-            maxlen=MOST_OUTAGES
+            maxlen=MAX_OUTAGE_COUNT
         )
-        # The parts that failed since the last success, and those that did
-        # before it, with the time of their last failure.
-        self._failed: set[str] = set()
-        self._known_bad: dict[str, float] = {}
+        # The partitions that failed since the last success, and those that
+        # failed before it, with the times of their last failures.
+        self._failed_partitions: set[str] = set()
+        self._known_failures: dict[str, float] = {}
         self._failed_at: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
 
-    def record_success(self, part: str, now: float) -> bool:
-        """Take that a part answered; say if the store is back with it."""
-        self._answered_at = now
-        self._known_bad.update(dict.fromkeys(self._failed, now))
-        self._known_bad.pop(part, None)
-        self._failed.clear()
-        self._failed_at.pop(part, None)
+    def record_success(self, partition: str, now: float) -> bool:
+        """Record a success; return whether it ends an outage."""
+        self._succeeded_at = now
+        self._known_failures.update(
+            dict.fromkeys(self._failed_partitions, now)
+        )
+        self._known_failures.pop(partition, None)
+        self._failed_partitions.clear()
+        self._failed_at.pop(partition, None)
         if not self.is_unavailable:
             return False
         self.is_unavailable = False
@@ -63,46 +64,56 @@
 
     def record_failure(
         self,
-        part: str,
+        partition: str,
         now: float,
         is_rate_limited: bool = False,
         began: float | None = None,
     ) -> bool:
-        """Take that a part failed; say if the store is away with it.
+        """Record a failure; return whether an outage starts with it.
 
-        ``is_rate`` says that it refused for too many calls: that is no
-        disturbance for those who write there. ``began`` is when the call was
-        sent, now if it is left out.
+        ``is_rate_limited`` says that the call was refused for the rate of
+        calls; this sets neither ``has_recent_failure`` nor
+        ``correlated_failure_at``. ``began`` is when the call was sent, by
+        default now.
         """
         if not is_rate_limited:
-            self._note_part(part, now)
-        if began is not None and began < self._answered_at:
-            # Calls into a silence run out of patience for seconds behind the
-            # store's return. An instance with little to do has no answers
-            # between them: it would take the store for gone once more.
+            self._record_partition_failure(partition, now)
+        if began is not None and began < self._succeeded_at:
+            # Calls sent during an outage time out up to seconds after its end.
+            # They must not count as another outage, even if no call succeeds
+            # in between.
             return False
-        if now - self._known_bad.get(part, float('-inf')) < KNOWN_BAD:
-            self._known_bad[part] = now
+        if (
+            now - self._known_failures.get(partition, float('-inf'))
+            < KNOWN_FAILURE_SECONDS
+        ):
+            self._known_failures[partition] = now
             return False
-        self._failed.add(part)
-        if self.is_unavailable or len(self._failed) < AWAY_PARTS:
+        self._failed_partitions.add(partition)
+        if (
+            self.is_unavailable
+            or len(self._failed_partitions) < UNAVAILABLE_PARTITION_COUNT
+        ):
             return False
         self.is_unavailable = True
         self.unavailable_since = now
         return True
 
-    def has_recent_failure(self, part: str, now: float) -> bool:
-        """Say whether a part failed a moment ago."""
-        return now - self._failed_at.get(part, float('-inf')) < SUSPICION
+    def has_recent_failure(self, partition: str, now: float) -> bool:
+        """Return whether a partition has failed recently."""
+        return (
+            now - self._failed_at.get(partition, float('-inf'))
+            < RECENT_FAILURE_SECONDS
+        )
 
     def get_outage_duration(self, now: float) -> float:
-        """Return for how long the store has been away, 0 if it is not."""
+        """Return the seconds since the outage began, 0 if there is none."""
         return now - self.unavailable_since if self.is_unavailable else 0.0
 
-    def _note_part(self, part: str, now: float) -> None:
-        self._failed_at[part] = now
-        self._failed_at.move_to_end(part)
-        while now - next(iter(self._failed_at.values())) > AGREEMENT:
+    def _record_partition_failure(self, partition: str, now: float) -> None:
+        self._failed_at[partition] = now
+        self._failed_at.move_to_end(partition)
+        while now - next(iter(self._failed_at.values())) > CORRELATION_SECONDS:
             self._failed_at.popitem(last=False)
         if len(self._failed_at) > 1:
             self.correlated_failure_at = now
--- a/libs/gateway/vanillayoke/gateway/directory.py
+++ b/libs/gateway/vanillayoke/gateway/directory.py
@@ -1,16 +1,16 @@
-"""Which instances callers are told to connect to."""
+"""Choice of the instances that callers connect to."""
 
 import typing
 
 from vanillayoke.cluster import messages as cluster_messages
 
-# Callers take at most so many addresses.
+# The limit of callers.
 MAX_ADDRESSES = 64
-# Instances of the caller's own zone are named alone if there are so many:
-# bytes between zones cost, and three leave two when one fails.
-ENOUGH_NEAR = 3
-# How long callers may keep an answer. Short: an instance that stops is left
-# by its callers only when they ask again. Seconds.
+# With fewer local addresses those of other zones are added. Traffic between
+# zones costs, and after a failure at least two should be left.
+MIN_LOCAL_ADDRESSES = 3
+# How long callers may cache the addresses. They leave a stopping instance only
+# when they resolve again.
 TTL_SECONDS = 1.0
 
 
@@ -20,7 +20,7 @@
     zone: str,
     shuffle: typing.Callable[[list], None],
 ) -> list[str]:
-    """Return the addresses for a caller, its own zone's first."""
+    """Return the addresses for a caller, those of its own zone first."""
     groups: list[list[str]] = [[], [], []]
     for member in members:
         distance = 2
@@ -29,10 +29,10 @@
         elif member.region == region:
             distance = 1
         groups[distance].append(member.entry_address)
-    found: list[str] = []
+    addresses: list[str] = []
     for group in groups:
-        if len(found) >= ENOUGH_NEAR:
+        if len(addresses) >= MIN_LOCAL_ADDRESSES:
             break
         shuffle(group)
-        found += group
-    return found[:MAX_ADDRESSES]
+        addresses += group
+    return addresses[:MAX_ADDRESSES]
--- a/libs/gateway/vanillayoke/gateway/store.py
+++ b/libs/gateway/vanillayoke/gateway/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store, and what their failures leave open."""
+"""Client of the platform's store, with relays while it is unavailable."""
 
 import asyncio
 import typing
@@ -11,61 +11,64 @@
 from vanillayoke.gateway import relays as relays_module
 from vanillayoke.transport import client
 
-# Answers that say that nothing was done.
-_TOO_MANY = 429
-_REFUSALS = frozenset((_TOO_MANY, 503))
+# Statuses of calls that have had no effect.
+_TOO_MANY_REQUESTS = 429
+_REFUSALS = frozenset((_TOO_MANY_REQUESTS, 503))
 _GONE = 410
-# A connection to the store takes a round trip; a second try is due soon
-# where packets vanish. Seconds.
-CONNECT_TIMEOUT = 1.0
-# How an instance says that it could not pass a call on, and that it does not
-# know what became of it.
+# Connecting takes one round trip; packet loss shows soon.
+CONNECT_TIMEOUT_SECONDS = 1.0
+# Statuses of a relay for a call that it could not forward, and for one whose
+# outcome it does not know.
 REFUSED_STATUS = 503
 NO_RESPONSE_STATUS = 504
-# What a relayed call counts as: its part is the asker's affair.
+# Relayed calls are recorded under this name instead of their partition, which
+# concerns the instance that sent them.
 _RELAYED = 'relayed'
-# Between two probes of a store that is away. Seconds.
-PROBE_PAUSE = 0.25
-# From one part probed to the next: neighbours lie far apart, and it takes as
-# many probes as there are parts to come round.
+# Between two probes of an unavailable store.
+PROBE_PAUSE_SECONDS = 0.25
+# From one probed partition to the next; coprime to their number, so that all
+# of them get probed.
 PROBE_STEP = 101
-# Calls that waited for the store's return are spread over this time. Seconds.
-RETURN_SPREAD = 0.05
-# A call without an answer is tried again after this many usual times, at
-# least a quarter of a second: a store that is slow must not get each call
-# twice. Seconds.
+# Waiting calls are spread over this time after the store's recovery.
+RECOVERY_SPREAD_SECONDS = 0.05
+# A call times out after this many average latencies, so that a slow store does
+# not get each call twice.
 TIMEOUT_FACTOR = 8.0
 MAX_TIMEOUT_SECONDS = 2.5
 
 
 class StoreError(Exception):
-    """A call to the store did not succeed."""
+    """A call to the store failed."""
 
 
 class StoreRefusedError(StoreError):
-    """Nothing was done."""
+    """The call had no effect."""
 
 
 class StoreOutcomeUnknownError(StoreError):
-    """No answer came: what was asked may be done, or be done yet."""
+    """There was no usable response; the call may still take effect."""
 
 
 class ChangesExpiredError(StoreError):
-    """The changes asked for are no longer there; read all anew."""
+    """The requested changes have expired; the table must be read again."""
 
 
 class Observer(typing.NamedTuple):
-    """Who is told of calls (kind, outcome, seconds) and of loss and return."""
+    """Callbacks for calls and for changes of the store's availability.
+
+    ``on_call`` gets the kind of a call, its outcome and its seconds,
+    ``on_change`` whether the store is available.
+    """
 
     on_call: typing.Callable[[str, str, float], None]
     on_change: typing.Callable[[bool], None]
 
 
 class StoreClient:
-    """Sends calls to the store and keeps up how it answers.
+    """Sends calls to the store and tracks its availability.
 
-    While the store does not answer this instance, calls go through other
-    instances: it may turn some machines away and serve the others.
+    While the store is unavailable to this instance, calls are relayed by other
+    instances, since it may refuse some machines and serve others.
     """
 
     def __init__(
@@ -73,72 +76,80 @@
         settings: messages.StoreSettings,
         dialect: dialect_module.Dialect,
         timer_service: timers.TimerService,
-        draw: typing.Callable[[], float],
+        random_float: typing.Callable[[], float],
         list_relays: typing.Callable[[], typing.Sequence[str]],
         observer: Observer,
     ) -> None:
         self._settings = settings
         self._dialect = dialect
         self._timers = timer_service
-        self._draw = draw
-        self._relays = relays_module.Relays(list_relays, timer_service, draw)
+        self._random_float = random_float
+        self._relays = relays_module.Relays(
+            list_relays, timer_service, random_float
+        )
         self._observer = observer
-        self._pool = client.Pool(CONNECT_TIMEOUT)
+        self._pool = client.Pool(CONNECT_TIMEOUT_SECONDS)
         self.availability = availability_module.Availability()
-        self._probed = int(draw() * partitions.PARTITION_COUNT)
-        self._returned = asyncio.Event()
-        self._lost = asyncio.Event()
-        # The time that a call takes, as an average over the last few.
+        self._probed_index = int(random_float() * partitions.PARTITION_COUNT)
+        self._recovered = asyncio.Event()
+        self._outage_started = asyncio.Event()
+        # Moving average of the seconds that a call takes.
         self.average_latency = 0.01
 
     @property
     def row_bytes(self) -> int:
-        """The most bytes that one row's value may hold."""
+        """The maximum bytes of a row's value."""
         return self._settings.row_bytes
 
     @property
     def is_unreachable(self) -> bool:
-        """Whether neither the store nor another instance's way to it works.
+        """Whether the store can be reached neither directly nor by a relay.
 
-        What needs the store need not be tried then. Probes find the way, so
-        that no turn is begun for nothing while it is not known.
+        Nothing that needs the store should be tried then. Probes find out when
+        a route works again.
         """
         return self.is_unavailable and not self._relays.has_route
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether the store does not answer this instance."""
+        """Whether the store does not serve this instance directly."""
         return self.availability.is_unavailable
 
-    def has_recent_failure(self, part: str) -> bool:
-        """Say whether a part of the store failed a moment ago."""
-        return self.availability.has_recent_failure(part, self._timers.now())
+    def has_recent_failure(self, partition: str) -> bool:
+        """Return whether a partition failed recently."""
+        return self.availability.has_recent_failure(
+            partition, self._timers.now()
+        )
 
     async def transact(
-        self, transaction: messages.Transaction, patience: float
+        self, transaction: messages.Transaction, timeout_seconds: float
     ) -> messages.Committed | messages.Conflict:
-        """Apply all of a transaction or nothing.
+        """Apply a transaction atomically.
 
-        Raise ``StoreRefusedError`` or ``StoreSilentError``.
+        Raise ``StoreRefusedError`` or ``StoreOutcomeUnknownError``.
         """
         request = self._dialect.encode_transaction(transaction)
-        part = _find_part(transaction)
-        status, body = await self._call('transact', part, request, patience)
+        partition = _find_partition(transaction)
+        status, body = await self._call(
+            'transact', partition, request, timeout_seconds
+        )
         return self._decode(self._dialect.decode_outcome, status, body)
 
     async def read(
         self,
         table: str,
-        part: str,
-        patience: float,
+        partition: str,
+        timeout_seconds: float,
         start: str = '',
         end: str | None = None,
     ) -> messages.Page:
-        """Return all rows of a part from ``start`` on, before ``end``."""
+        """Return the rows of a partition from ``start`` to before ``end``."""
         rows: list[messages.Row] = []
         while True:
-            request = self._dialect.encode_read(table, part, start, end)
-            _, body = await self._call('read', part, request, patience)
+            request = self._dialect.encode_read(table, partition, start, end)
+            _, body = await self._call(
+                'read', partition, request, timeout_seconds
+            )
             page = self._decode(self._dialect.decode_page, body)
             rows += page.rows
             if not page.has_more or not page.rows:
@@ -146,35 +157,39 @@
             start = page.rows[-1].where.key + '\0'
 
     async def follow(
-        self, table: str, after: int, wait: float, patience: float
+        self, table: str, after: int, wait: float, timeout_seconds: float
     ) -> messages.Page:
-        """Return the next changes behind a version, none after ``wait``.
+        """Return the changes after a version, none if ``wait`` is over.
 
-        Raise ``HistoryGoneError`` where they are no longer kept.
+        Raise ``ChangesExpiredError`` if they are no longer kept.
         """
         request = self._dialect.encode_follow(table, after, wait)
         status, body = await self._call(
-            'follow', f'all of {table}', request, patience + wait
+            'follow', f'all of {table}', request, timeout_seconds + wait
         )
         if status == _GONE:
-            raise ChangesExpiredError(f'{table} after {after}')
+            raise ChangesExpiredError(
+                f'changes of {table} after version {after} have expired'
+            )
         return self._decode(self._dialect.decode_page, body)
 
     async def read_via_relay(
-        self, relay: str, table: str, patience: float
+        self, relay: str, table: str, timeout_seconds: float
     ) -> messages.Page:
-        """Return the first rows of a table, by way of another instance."""
+        """Return the first page of a table, read by a relay."""
         request = self._dialect.encode_read(table, '', '', None)
-        _, body = await self._ask_relay('read', relay, request, patience)
+        _, body = await self._call_relay(
+            'read', relay, request, timeout_seconds
+        )
         return self._decode(self._dialect.decode_page, body)
 
     async def relay(
         self, request: dialect_module.StoreRequest
     ) -> tuple[int, bytes]:
-        """Send another instance's call; return status and body.
+        """Send the call of another instance; return status and body.
 
-        It is never passed on to a third instance: two that both miss the
-        store would pass it to and fro.
+        It is never relayed further: two instances without access to the store
+        would relay it to each other forever.
         """
         if self.is_unavailable:
             return REFUSED_STATUS, b''
@@ -188,112 +203,131 @@
             return NO_RESPONSE_STATUS, b''
 
     async def watch_availability(self) -> None:
-        """Find out when the store is back; runs until cancelled.
+        """Probe the store while it is unavailable; runs until cancelled.
 
-        All calls that wait hear of a probe's answer, instead of each asking
-        again. A probe waits as long as a slow store may take, and others
-        follow it meanwhile: those sent into a silence get no answer even
-        when the store is back.
+        The response to a probe wakes all calls that wait for the store. Probes
+        overlap: each waits as long as a slow store may take, and one sent
+        while the store is unresponsive gets no response after the recovery.
         """
         while True:
-            await self._lost.wait()
-            async with asyncio.TaskGroup() as probes:
+            await self._outage_started.wait()
+            async with asyncio.TaskGroup() as probe_tasks:
                 while self.is_unavailable:
-                    probes.create_task(self._probe())
+                    probe_tasks.create_task(self._probe())
                     if not self._relays.has_route:
-                        probes.create_task(self._probe_relays())
-                    pause = PROBE_PAUSE * (0.75 + 0.5 * self._draw())
+                        probe_tasks.create_task(self._probe_relays())
+                    pause = PROBE_PAUSE_SECONDS * (
+                        0.75 + 0.5 * self._random_float()
+                    )
                     await self._timers.sleep(pause)
 
     async def _probe(self) -> None:
-        """Find out whether any part of the store answers."""
-        # Another part each time: some may be down while others work.
-        self._probed = (self._probed + PROBE_STEP) % partitions.PARTITION_COUNT
-        part = partitions.name_partition(self._probed)
-        request = self._dialect.encode_probe(part)
+        """Probe one partition of the store."""
+        # Another partition each time: some may be down while others work.
+        self._probed_index = (
+            self._probed_index + PROBE_STEP
+        ) % partitions.PARTITION_COUNT
+        partition = partitions.name_partition(self._probed_index)
+        request = self._dialect.encode_probe(partition)
         try:
             await self._call_directly(
-                'probe', part, request, MAX_TIMEOUT_SECONDS
+                'probe', partition, request, MAX_TIMEOUT_SECONDS
             )
         except StoreError:
             return
 
     async def _probe_relays(self) -> None:
-        """Find out whether another instance reaches the store."""
+        """Probe the store through a relay."""
         request = self._dialect.encode_probe(partitions.name_partition(0))
         try:
             await self._call_by_relay('probe', request, MAX_TIMEOUT_SECONDS)
         except StoreError:
             return
 
-    async def wait_before_retry(self, longest: float) -> None:
-        """Return when a call is worth trying again, at the latest then."""
+    async def wait_before_retry(self, max_pause: float) -> None:
+        """Wait until the store recovers, at most ``max_pause`` seconds.
+
+        If the store is available, wait for a random part of that time.
+        """
         if not self.is_unavailable:
-            await self._timers.sleep(longest * (0.5 + self._draw() / 2))
+            await self._timers.sleep(
+                max_pause * (0.5 + self._random_float() / 2)
+            )
             return
         try:
-            async with asyncio.timeout(longest):
-                await self._returned.wait()
+            async with asyncio.timeout(max_pause):
+                await self._recovered.wait()
         except TimeoutError:
             return
-        # All that waited would else call at once.
-        await self._timers.sleep(RETURN_SPREAD * self._draw())
+        # Avoids a stampede of all calls that waited.
+        await self._timers.sleep(
+            RECOVERY_SPREAD_SECONDS * self._random_float()
+        )
 
     def close(self) -> None:
-        """Drop the connections."""
+        """Close the connections."""
         self._pool.close()
 
     def prune(self) -> None:
-        """Drop the connections that have rested too long."""
+        """Close the connections that were idle for too long."""
         self._pool.prune()
 
     async def _call(
         self,
         kind: str,
-        part: str,
+        partition: str,
         request: dialect_module.StoreRequest,
-        patience: float,
+        timeout_seconds: float,
     ) -> tuple[int, bytes]:
         if self.is_unavailable:
-            return await self._call_by_relay(kind, request, patience)
-        return await self._call_directly(kind, part, request, patience)
+            return await self._call_by_relay(kind, request, timeout_seconds)
+        return await self._call_directly(
+            kind, partition, request, timeout_seconds
+        )
 
     async def _call_directly(
         self,
         kind: str,
-        part: str,
+        partition: str,
         request: dialect_module.StoreRequest,
-        patience: float,
+        timeout_seconds: float,
     ) -> tuple[int, bytes]:
         began = self._timers.now()
         try:
             status, body = await self._exchange(
-                self._settings.address, request, patience
+                self._settings.address, request, timeout_seconds
             )
         except client.NotSent as error:
-            self._note_failure(kind, part, 'unreachable', began)
+            self._record_failure(kind, partition, 'unreachable', began)
             raise StoreRefusedError(str(error)) from error
         except (client.TransportError, TimeoutError) as error:
-            self._note_silence(kind, part, began)
+            self._record_no_response(kind, partition, began)
             raise StoreOutcomeUnknownError(
-                str(error) or 'no answer'
+                str(error) or 'no response'
             ) from error
         if status in _REFUSALS:
-            is_rate_limited = status == _TOO_MANY
-            self._note_failure(kind, part, 'refused', began, is_rate_limited)
-            raise StoreRefusedError(f'the store answered {status}')
-        self._note_success(kind, part, began)
+            is_rate_limited = status == _TOO_MANY_REQUESTS
+            self._record_failure(
+                kind, partition, 'refused', began, is_rate_limited
+            )
+            raise StoreRefusedError(f'the store returned status {status}')
+        self._record_success(kind, partition, began)
         return status, body
 
     async def _call_by_relay(
-        self, kind: str, request: dialect_module.StoreRequest, patience: float
+        self,
+        kind: str,
+        request: dialect_module.StoreRequest,
+        timeout_seconds: float,
     ) -> tuple[int, bytes]:
-        for _ in range(relays_module.MOST):
+        for _ in range(relays_module.MAX_ATTEMPTS):
             relay = self._relays.choose()
             if relay is None:
                 break
             try:
-                answer = await self._ask_relay(kind, relay, request, patience)
+                response = await self._call_relay(
+                    kind, relay, request, timeout_seconds
+                )
             except StoreRefusedError:
                 self._relays.record_refusal(relay)
                 continue
@@ -301,40 +335,48 @@
                 self._relays.record_no_response()
                 raise
             self._relays.record_success(relay)
-            return answer
+            return response
         self._relays.pause()
-        raise StoreRefusedError('the store is away for others too')
+        raise StoreRefusedError(
+            'neither the store nor a relay to it is available'
+        )
 
-    async def _ask_relay(
+    async def _call_relay(
         self,
         kind: str,
         relay: str,
         request: dialect_module.StoreRequest,
-        patience: float,
+        timeout_seconds: float,
     ) -> tuple[int, bytes]:
         began = self._timers.now()
         try:
-            status, body = await self._exchange(relay, request, patience)
+            status, body = await self._exchange(
+                relay, request, timeout_seconds
+            )
         except client.NotSent as error:
             raise StoreRefusedError(str(error)) from error
         except (client.TransportError, TimeoutError) as error:
             raise StoreOutcomeUnknownError(
-                str(error) or 'no answer'
+                str(error) or 'no response'
             ) from error
-        taken = self._timers.now() - began
+        duration = self._timers.now() - began
         if status == REFUSED_STATUS:
-            self._observer.on_call(kind, 'relay_refused', taken)
-            raise StoreRefusedError('another instance was refused too')
+            self._observer.on_call(kind, 'relay_refused', duration)
+            raise StoreRefusedError(
+                'the relay could not forward the call to the store'
+            )
         if status == NO_RESPONSE_STATUS:
-            raise StoreOutcomeUnknownError('no answer for another instance')
-        self._observer.on_call(kind, 'relayed', taken)
+            raise StoreOutcomeUnknownError(
+                'the relay got no response from the store'
+            )
+        self._observer.on_call(kind, 'relayed', duration)
         return status, body
 
     async def _exchange(
         self,
         address: str,
         request: dialect_module.StoreRequest,
-        patience: float,
+        timeout_seconds: float,
     ) -> tuple[int, bytes]:
         fields = [
             (b'Host', address.encode()),
@@ -342,7 +384,7 @@
         ]
         connection = await self._pool.acquire(address)
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_seconds):
                 connection.send(
                     request.method, request.target, fields, request.body
                 )
@@ -354,53 +396,57 @@
         self._pool.release(address, connection)
         return head.status, body
 
-    def _decode(self, decode: typing.Callable, *given: typing.Any):
+    def _decode(self, decode: typing.Callable, *arguments: typing.Any):
         try:
-            return decode(*given)
+            return decode(*arguments)
         except dialect_module.BadRowError as error:
             raise StoreOutcomeUnknownError(str(error)) from error
 
-    def _note_success(self, kind: str, part: str, began: float) -> None:
+    def _record_success(self, kind: str, partition: str, began: float) -> None:
         now = self._timers.now()
-        taken = now - began
-        self._observer.on_call(kind, 'answered', taken)
+        duration = now - began
+        self._observer.on_call(kind, 'answered', duration)
         if kind != 'follow':
-            self.average_latency += (taken - self.average_latency) / 4
-        if self.availability.record_success(part, now):
-            self.average_latency = taken
-            self._relays.forget()
-            self._lost.clear()
-            self._returned.set()
+            self.average_latency += (duration - self.average_latency) / 4
+        if self.availability.record_success(partition, now):
+            self.average_latency = duration
+            self._relays.reset()
+            self._outage_started.clear()
+            self._recovered.set()
             self._observer.on_change(True)
 
-    def _note_silence(self, kind: str, part: str, began: float) -> None:
-        # A slow store must not be asked again and again before it can have
-        # answered: each silence doubles the patience for the next call.
+    def _record_no_response(
+        self, kind: str, partition: str, began: float
+    ) -> None:
+        # Back off: a call without a response doubles the timeout of the next
+        # one, so that a slow store is not sent calls faster than it responds.
         if kind not in ('follow', 'probe'):
-            taken = self._timers.now() - began
+            duration = self._timers.now() - began
             self.average_latency = max(
-                self.average_latency, 2 * taken / TIMEOUT_FACTOR
+                self.average_latency, 2 * duration / TIMEOUT_FACTOR
             )
-        self._note_failure(kind, part, 'silent', began)
+        self._record_failure(kind, partition, 'silent', began)
 
-    def _note_failure(
+    def _record_failure(
         self,
         kind: str,
-        part: str,
+        partition: str,
         outcome: str,
         began: float,
         is_rate_limited: bool = False,
     ) -> None:
         now = self._timers.now()
         self._observer.on_call(kind, outcome, now - began)
-        if self.availability.record_failure(part, now, is_rate_limited, began):
-            self._returned.clear()
-            self._lost.set()
+        if self.availability.record_failure(
+            partition, now, is_rate_limited, began
+        ):
+            self._recovered.clear()
+            self._outage_started.set()
             self._observer.on_change(False)
 
 
-def _find_part(transaction: messages.Transaction) -> str:
-    """Return the part that a transaction is about; all its rows share it."""
-    for where, _ in (*transaction.expected, *transaction.writes):
-        return where.partition
+def _find_partition(transaction: messages.Transaction) -> str:
+    """Return the partition of a transaction, which all its rows share."""
+    for key, _ in (*transaction.expected, *transaction.writes):
+        return key.partition
     return ''
--- a/tests/gateway/test_availability.py
+++ b/tests/gateway/test_availability.py
@@ -1,4 +1,4 @@
-"""Tests of how an instance judges the store by how its calls end."""
+"""Tests of the detection of store outages from the results of calls."""
 
 import random
 
@@ -11,13 +11,15 @@
     return availability.Availability()
 
 
-def test_store_is_away_when_its_parts_fail_one_after_another(case, store):
-    found = [store.record_failure(part, 1.0) for part in ('a', 'b', 'c', 'd')]
-    case.assertEqual([False, False, True, False], found)
+def test_failures_of_several_partitions_are_an_outage(case, store):
+    results = [
+        store.record_failure(name, 1.0) for name in ('a', 'b', 'c', 'd')
+    ]
+    case.assertEqual([False, False, True, False], results)
     case.assertEqual(2.5, store.get_outage_duration(3.5))
 
 
-def test_one_part_that_fails_is_no_outage(case, store):
+def test_failures_of_one_partition_are_no_outage(case, store):
     for number in range(50):
         case.assertFalse(store.record_failure('a', number / 10))
     case.assertTrue(store.has_recent_failure('a', 5.0))
@@ -25,68 +27,62 @@
     case.assertFalse(store.has_recent_failure('a', 6.0))
 
 
-def test_success_of_any_part_ends_an_outage(case, store):
-    for part in ('a', 'b', 'c'):
-        store.record_failure(part, 1.0)
+def test_success_of_any_partition_ends_an_outage(case, store):
+    for partition in ('a', 'b', 'c'):
+        store.record_failure(partition, 1.0)
     case.assertTrue(store.record_success('d', 4.0))
     case.assertFalse(store.is_unavailable)
     case.assertEqual([3.0], list(store.outage_durations))
     case.assertEqual(4.0, store.recovered_at)
 
 
-def test_old_calls_that_fail_are_no_new_outage(case, store):
-    """Turns were refused for two seconds behind the end of an outage.
+def test_timeouts_of_old_calls_are_no_new_outage(case, store):
+    """Turns would be refused for seconds after the end of an outage.
 
-    The store had been silent. Probes sent into the silence ran out of
-    patience one after another, seconds behind its return, and an instance
-    with little other work took them for the next outage.
+    Probes sent while the store was unresponsive time out after its recovery.
     """
     for number in range(3):
         store.record_failure(f'a{number}', 1.0, began=0.5)
     case.assertTrue(store.is_unavailable)
     store.record_success('b', 6.0)
     for number in range(10):
-        at = 6.1 + number / 4
-        store.record_failure(f'c{number}', at, began=at - 2.5)
+        now = 6.1 + number / 4
+        store.record_failure(f'c{number}', now, began=now - 2.5)
     case.assertFalse(store.is_unavailable)
     for number in range(3):
         store.record_failure(f'd{number}', 9.0, began=8.5)
     case.assertTrue(store.is_unavailable)
 
 
-def test_third_of_the_parts_down_is_seldom_taken_for_an_outage(case, store):
-    """Calls go to random parts while a third of them refuse.
-
-    Two failures in a row would count as an outage once in nine calls.
-    """
-    source = random.Random(5)
+def test_failure_of_a_third_of_the_partitions_is_rarely_an_outage(case, store):
+    """The store must not count as unavailable while most partitions work."""
+    rng = random.Random(5)
     outages = 0
     for number in range(3000):
-        part = source.randrange(256)
-        if part % 3:
-            store.record_success(str(part), number / 100)
+        partition = rng.randrange(256)
+        if partition % 3:
+            store.record_success(str(partition), number / 100)
         else:
-            outages += store.record_failure(str(part), number / 100)
+            outages += store.record_failure(str(partition), number / 100)
     case.assertLess(outages, 20)
 
 
-def test_part_known_to_be_down_is_no_sign_of_an_outage(case, store):
-    """A few parts are down, and work for them is tried over and over.
+def test_repeated_failures_of_known_partitions_are_no_outage(case, store):
+    """A few partitions are down and retried, and other calls are rare.
 
-    Other calls are rare. The instance must not take the whole store for gone
-    between any two of them.
+    The whole store must not count as unavailable between two of these.
     """
     for number in range(40):
-        for part in ('a', 'b', 'c', 'd'):
-            is_lost = store.record_failure(part, number / 4)
-            case.assertFalse(is_lost and number > 0)
+        for partition in ('a', 'b', 'c', 'd'):
+            is_outage = store.record_failure(partition, number / 4)
+            case.assertFalse(is_outage and number > 0)
         store.record_success('e', number / 4 + 0.1)
-    lost = [store.record_failure(part, 11.0) for part in ('f', 'g', 'h')]
-    case.assertEqual([False, False, True], lost)
+    results = [store.record_failure(name, 11.0) for name in ('f', 'g', 'h')]
+    case.assertEqual([False, False, True], results)
 
 
-def test_parts_that_fail_together_show_a_disturbance(case, store):
-    """One call lost on the way does not, nor do refusals of too many."""
+def test_failures_of_two_partitions_are_correlated(case, store):
+    """A single failure is not, nor is a refusal for the rate of calls."""
     store.record_failure('a', 1.0)
     store.record_failure('b', 5.0)
     store.record_failure('c', 5.1, is_rate_limited=True)
--- a/tests/gateway/test_catalog.py
+++ b/tests/gateway/test_catalog.py
@@ -1,4 +1,4 @@
-"""Tests of the targets that an instance knows, row by row."""
+"""Tests of the catalog of targets."""
 
 from vanillayoke.gateway import catalog as catalog_module
 from vanillayoke.gateway import messages
@@ -17,14 +17,13 @@
 
 
 def _names(catalog, service='models'):
-    return [one.name for one in catalog.list_targets(service)]
+    return [target.name for target in catalog.list_targets(service)]
 
 
-def test_heartbeat_tells_nothing_new(case, catalog):
-    """1,700 targets write a row each second or so that says the same.
+def test_heartbeat_changes_nothing(case, catalog):
+    """The cost of heartbeats would grow with the square of the targets.
 
-    Each made the index of all targets anew and wrote a line: a third of a
-    core of each instance went into rows that change nothing.
+    A heartbeat must neither rebuild the list of targets nor be logged.
     """
     case.assertTrue(catalog.put_target(_make('a'), 1))
     before = catalog.list_targets('models')
@@ -32,8 +31,8 @@
     case.assertIs(before, catalog.list_targets('models'))
 
 
-def test_heartbeat_ends_a_lapse(case, catalog):
-    """A row that had lapsed is written again, the same as before."""
+def test_heartbeat_restores_a_missing_target(case, catalog):
+    """An expired row is written again, with the same content as before."""
     catalog.put_target(_make('a'), 1)
     catalog.mark_target_missing('a', 2, deadline=10.0)
     case.assertTrue(catalog.put_target(_make('a'), 3))
@@ -41,7 +40,7 @@
     case.assertEqual(['a'], _names(catalog))
 
 
-def test_target_changes_its_service(case, catalog):
+def test_target_moves_to_another_service(case, catalog):
     catalog.put_target(_make('a'), 1)
     catalog.put_target(_make('b'), 2)
     case.assertEqual(['a', 'b'], _names(catalog))
@@ -60,13 +59,13 @@
     case.assertNotIn('a', catalog.target_names)
 
 
-def test_list_that_is_in_use_stays_as_it_was(case, catalog):
-    """A request goes through a service's targets while one of them leaves."""
+def test_returned_list_does_not_change(case, catalog):
+    """A request iterates over the targets while one of them leaves."""
     catalog.put_target(_make('a'), 1)
     catalog.put_target(_make('b'), 2)
-    found = catalog.list_targets('models')
+    targets = catalog.list_targets('models')
     catalog.mark_target_missing('a', 3, None)
-    case.assertEqual(['a', 'b'], [one.name for one in found])
+    case.assertEqual(['a', 'b'], [target.name for target in targets])
     case.assertEqual(['b'], _names(catalog))
 
 
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of which instances callers are sent to."""
+"""Tests of the choice of instances that callers connect to."""
 
 from vanillayoke.cluster import messages
 from vanillayoke.gateway import directory
@@ -14,17 +14,17 @@
     return directory.choose_addresses(members, 'r1', 'z1', lambda items: None)
 
 
-def test_enough_near_instances_are_named_alone(case):
+def test_enough_local_instances_are_returned_alone(case):
     members = [_make(n, 'z1') for n in range(3)] + [_make(9, 'z2')]
     case.assertEqual(['i0:1', 'i1:1', 'i2:1'], _choose(members))
 
 
-def test_too_few_near_ones_are_joined_by_the_next(case):
+def test_too_few_local_instances_are_completed_from_other_zones(case):
     members = [_make(1, 'z1'), _make(2, 'z2'), _make(3, 'z9', 'r2')]
     case.assertEqual(['i1:1', 'i2:1', 'i3:1'], _choose(members))
 
 
-def test_answer_holds_no_more_than_callers_take(case):
+def test_number_of_addresses_is_limited(case):
     members = [_make(n, 'z1') for n in range(200)]
     case.assertEqual(directory.MAX_ADDRESSES, len(_choose(members)))
 
