--- a/tests/gateway/test_scouting.py
+++ b/tests/gateway/test_load_queries.py
@@ -1,4 +1,4 @@
-"""Tests of sending work where the homes of targets count the least."""
+"""Tests of placement by the loads that coordinators count."""
 
 import asyncio
 
@@ -14,10 +14,10 @@
 
 
 async def test_turns_of_many_instances_spread_evenly(case, site):
-    """Eight instances send one turn each at the same time.
+    """Turns would queue at one engine while another has free slots.
 
-    Two engines have four places each. By its own view each instance finds
-    both empty; half of the turns could meet at one engine and wait there.
+    Eight instances send one turn each at the same time; in its local view
+    each instance finds both engines idle.
     """
     await site.start(8)
     for name in ('m1', 'm2'):
@@ -33,15 +33,15 @@
     case.assertEqual(0, site.targets['m1'].waiting)
 
 
-async def test_turn_does_not_wait_for_homes_that_died(case, site, network):
-    """The homes of all engines lose power; nobody has noticed yet."""
+async def test_turn_does_not_wait_for_failed_coordinators(case, site, network):
+    """The coordinators of all engines failed, which is not yet detected."""
     await site.start(4)
     for name in ('i2', 'i3', 'i4'):
         site_fixtures.kill(site, network, name)
     began = site.timers.now()
-    counts = await site.instances['i1']._load_queries.query(_list_places(site))
+    loads = await site.instances['i1']._load_queries.query(_list_places(site))
     case.assertLess(site.timers.now() - began, 0.02)
-    case.assertLessEqual(len(counts), 4)
+    case.assertLessEqual(len(loads), 4)
 
 
 def _list_places(site):
@@ -50,7 +50,7 @@
 
 
 async def test_slow_server_gets_less_work(case, site):
-    """One of two tool servers works ten times slower than the other."""
+    """One of two tool servers is ten times slower than the other."""
     await site.start(4)
     for number in range(40):
         await site.call(f'i{1 + number % 4}', 'look', method=b'GET')
@@ -61,12 +61,12 @@
         site.targets[name].executions.clear()
     for number in range(20):
         await site.call(f'i{1 + number % 4}', 'look', method=b'GET')
-    slow = len(site.targets['t1'].executions)
-    case.assertLess(slow, 5)
+    slow_count = len(site.targets['t1'].executions)
+    case.assertLess(slow_count, 5)
 
 
-async def test_counts_end_with_the_requests(case, site):
-    """Whatever becomes of a request, its target's count goes back."""
+async def test_load_returns_to_zero_after_failed_requests(case, site):
+    """Requests that fail would keep occupying their targets."""
     await site.start(2)
     site.targets['t1'].faults.extend(
         [targets.Fault.SHED, targets.Fault.LOSE_ANSWER, targets.Fault.GARBAGE]
@@ -82,11 +82,11 @@
             case.assertLess(answer.requests, 0.01)
 
 
-async def test_next_turn_finds_its_engine_at_any_instance(case, site):
-    """A program's turns come to one instance after the other.
+async def test_program_keeps_its_engine_over_instances(case, site):
+    """The whole prompt would be processed again at another engine.
 
-    The engine of its last turn has its whole prompt in memory; at another
-    one all of it is read again. Its home knows the engine.
+    Only the engine of the last turn has the prompt in its cache, and the turns
+    of a program come to different instances.
     """
     await site.start(4)
     for number in range(3, 7):
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_table_sync.py
@@ -1,4 +1,4 @@
-"""Tests of what an instance believes: routes, targets, other instances."""
+"""Tests of how instances follow the tables of the store, start and stop."""
 
 import asyncio
 
@@ -30,7 +30,7 @@
     site.store.put('op', 'config', calls.make_configuration(version, routes))
 
 
-async def test_new_configuration_is_in_force_at_once(case, site):
+async def test_new_configuration_takes_effect_at_once(case, site):
     await site.start()
     route = calls.make_route('new', 'tools', 'safe')
     _configure(site, 2, [*site_module.ROUTES, route])
@@ -40,8 +40,8 @@
         case.assertEqual(200, answer.status)
 
 
-async def test_configuration_never_goes_back(case, site):
-    """The store hands out an old row after its history was dropped."""
+async def test_older_configuration_is_ignored(case, site):
+    """The store returns an old row after its change history was dropped."""
     await site.start()
     _configure(site, 5, [*site_module.ROUTES])
     await asyncio.sleep(0.1)
@@ -51,7 +51,7 @@
     case.assertEqual(200, (await site.call('i1', 'look')).status)
 
 
-async def test_dropped_history_is_read_anew(case, site):
+async def test_table_is_read_again_after_its_history_was_dropped(case, site):
     await site.start()
     site.store.mode = store_module.Mode.UNRESPONSIVE
     _configure(site, 2, [calls.make_route('new', 'tools', 'safe')])
@@ -61,7 +61,7 @@
     case.assertEqual(200, (await site.call('i1', 'new')).status)
 
 
-async def test_broken_configuration_is_passed_over_with_a_line(case, site):
+async def test_invalid_configuration_is_ignored_and_logged(case, site):
     await site.start()
     route = calls.make_route('new', 'no-such-service', 'safe')
     _configure(site, 2, [route])
@@ -81,13 +81,11 @@
     case.assertEqual([], site.targets['t1'].executions)
 
 
-async def test_rows_of_another_writer_leave_the_others(case, site):
-    """Somebody else writes into the table of servers.
+async def test_rows_of_another_writer_affect_no_other_rows(case, site):
+    """Rows that can't be decoded would stop the feed of the table.
 
-    Fields are missing or of other types, one row's bytes can't be read. None
-    of them names a server to use, one that stands in a server's place
-    neither, until the server writes its own again. All others hold, and
-    changes of the table still come through.
+    A server whose row was overwritten is not used until it writes its own row
+    again. All other rows and later changes take effect.
     """
     await site.start()
     await _add_foreign_rows(site, 't1')
@@ -101,11 +99,10 @@
     case.assertEqual(1, len(site.targets['t1'].executions))
 
 
-async def test_spoiled_row_names_nobody_behind_an_outage_either(case, site):
-    """While the store is away another writer spoils a server's row.
+async def test_overwritten_row_gets_no_grace_after_an_outage(case, site):
+    """A server's row is overwritten during an outage of the store.
 
-    The history is gone as well, so the table is read anew. Rows that lapsed
-    may come back within two seconds; this one has not lapsed.
+    The table is read again afterwards. Only expired rows get a grace.
     """
     await site.start(1)
     site.store.mode = store_module.Mode.UNAVAILABLE
@@ -119,7 +116,7 @@
     case.assertEqual([], site.targets['t1'].executions)
 
 
-async def test_instance_starts_beside_rows_of_another_writer(case, site):
+async def test_instance_starts_despite_rows_of_another_writer(case, site):
     await site.start(1)
     await _add_foreign_rows(site, 'm1')
     await site.add_instance('i2')
@@ -141,11 +138,10 @@
     await asyncio.sleep(0.1)
 
 
-async def test_server_that_starts_again_under_its_name_gets_work(case, site):
-    """A server fails everything, so that all instances leave it alone.
+async def test_restarted_server_gets_work(case, site):
+    """The health state of the former process would keep work from a server.
 
-    It starts again under its name and is well. Nothing known of its former
-    process may keep work away from the new one.
+    A server fails all requests until it restarts under the same name.
     """
     await site.start(3)
     for name in ('t1', 't2'):
@@ -157,34 +153,33 @@
     site.targets['t1'].executions.clear()
     site.register('t1', '10.8.0.3:8080', born=2)
     await asyncio.sleep(0.1)
-    calls_at_once = [site.call(f'i{n % 3 + 1}', 'order') for n in range(6)]
-    await asyncio.gather(*calls_at_once)
+    concurrent_calls = [site.call(f'i{n % 3 + 1}', 'order') for n in range(6)]
+    await asyncio.gather(*concurrent_calls)
     case.assertGreaterEqual(len(site.targets['t1'].executions), 2)
     [line] = site.list_events('i1', 'server_restarted')
     case.assertEqual(2, line['started'])
 
 
-async def test_kept_connection_to_a_former_process_is_not_used(case, site):
-    """A server crashes without a word and starts again under its name.
+async def test_idle_connection_to_a_former_process_is_not_used(case, site):
+    """An order sent over a dead connection would have an unknown outcome.
 
-    A connection kept from before leads nowhere: an order sent over it would
-    be lost without anybody knowing whether it ran.
+    A server crashes without closing its connections, and restarts.
     """
     await site.start(1)
     await site.call('i1', 'order')
-    kept = list(site.instances['i1']._pool._idle)
+    idle = list(site.instances['i1']._pool._idle)
     for name, address in (('t1', '10.8.0.3:8080'), ('t2', '10.8.0.4:8080')):
         site.register(name, address, born=2)
     await asyncio.sleep(0.1)
-    case.assertTrue(kept)
+    case.assertTrue(idle)
     case.assertFalse(site.instances['i1']._pool._idle)
 
 
-async def test_feed_that_went_silent_is_left_in_time(case, site, network):
-    """Open connections to the store go silent without a reset.
+async def test_unresponsive_feed_is_replaced_in_time(case, site, network):
+    """Changes would be missed while the feed's connection is unresponsive.
 
-    New ones work. A configuration accepted three seconds later has to be in
-    force within two more.
+    Open connections to the store stop responding without a reset; new ones
+    work.
     """
     await site.start()
     network.silence('10.9.0.1')
@@ -194,11 +189,10 @@
     case.assertEqual(200, (await site.call('i1', 'new')).status)
 
 
-async def test_rows_that_lapsed_in_an_outage_may_come_back(case, site):
-    """The store is down, so servers can't renew their rows and they lapse.
+async def test_rows_that_expired_in_an_outage_get_a_grace(case, site):
+    """Healthy servers would get no work after an outage of the store.
 
-    The servers are well; their rows are back within two seconds. Until then
-    they go on getting work.
+    Their rows expire during the outage and are written again after it.
     """
     await site.start()
     site.store.mode = store_module.Mode.UNAVAILABLE
@@ -212,7 +206,7 @@
     case.assertEqual(503, (await site.call('i1', 'order')).status)
 
 
-async def test_row_that_goes_in_calm_times_is_gone_at_once(case, site):
+async def test_row_removed_without_an_outage_gets_no_grace(case, site):
     await site.start()
     site.store.put('servers', 't1', None)
     await asyncio.sleep(0.1)
@@ -221,15 +215,13 @@
     case.assertEqual([], site.targets['t1'].executions)
 
 
-async def test_resolve_names_the_live_instances(case, site):
+async def test_resolve_returns_the_live_instances(case, site):
     await site.start(3)
     expected = [f'10.1.0.{n}:8149' for n in (1, 2, 3)]
     case.assertEqual(expected, await _resolve(site, 'i2'))
 
 
-async def test_resolve_leaves_out_an_instance_without_power(
-    case, site, network
-):
+async def test_resolve_omits_a_failed_instance(case, site, network):
     await site.start(3)
     site_fixtures.kill(site, network, 'i3')
     await asyncio.sleep(2.5)
@@ -237,7 +229,7 @@
     case.assertEqual(expected, await _resolve(site, 'i1'))
 
 
-async def test_new_instance_is_named_within_a_second(case, site):
+async def test_new_instance_is_resolved_within_a_second(case, site):
     await site.start(2)
     await site.add_instance('i3')
     await asyncio.sleep(1.0)
@@ -246,10 +238,10 @@
     case.assertIn('10.1.0.3:8149', await _resolve(site, 'i1'))
 
 
-async def test_stopping_instance_serves_on_and_is_not_named(case, site):
-    """An instance is told to stop while callers still know its address.
+async def test_stopping_instance_serves_but_is_not_resolved(case, site):
+    """Callers that cached its address would fail when an instance stops.
 
-    It is no longer named, answers what comes and ends within the grace.
+    It still serves their requests and ends within the grace period.
     """
     await site.start(2)
     began = site.timers.now()
@@ -264,8 +256,8 @@
     case.assertLess(site.timers.now() - began, 8.0)
 
 
-async def test_stopping_instance_gives_its_grants_back(case, site):
-    """A roll of all instances must not eat the budgets of programs."""
+async def test_stopping_instances_return_their_grants(case, site):
+    """Programs would lose budget whenever all instances are replaced."""
     await site.start(2)
     for number in range(4):
         await site.turn(
@@ -279,22 +271,22 @@
     case.assertEqual([40] * 4, granted)
 
 
-async def test_stop_does_not_wait_for_an_account_at_work(case, site):
-    """An instance was killed in its planned stop, and cut its callers off.
+async def test_stop_does_not_wait_for_a_locked_account(case, site):
+    """A stop beyond the grace period would be killed, cutting callers off.
 
-    At its end it gave back what it held of budgets. One of these was still
-    being asked for at a store that took seconds, and the stop waited.
+    An account is locked by a slow call to the store when the instance returns
+    its grants.
     """
     await site.start(1)
-    front = site.instances['i1']
-    ledger = front._ledger
+    instance = site.instances['i1']
+    ledger = instance._ledger
     await site.turn('i1', 'a', route='plan', program='p', budget=400)
     await site_fixtures.wait_for_background_work()
-    asking = asyncio.ensure_future(_hold(ledger._accounts['p'].lock, 20.0))
+    holding = asyncio.ensure_future(_hold(ledger._accounts['p'].lock, 20.0))
     began = site.timers.now()
-    await front.stop()
-    asking.cancel()
-    grace = front.settings.bounds.grace
+    await instance.stop()
+    holding.cancel()
+    grace = instance.settings.bounds.grace
     case.assertLess(site.timers.now() - began, grace)
 
 
--- a/tests/gateway/test_sickness.py
+++ b/tests/gateway/test_target_health.py
@@ -1,4 +1,4 @@
-"""Tests of finding out together that a server fails its requests."""
+"""Tests of the shared detection of servers that fail their requests."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 async def _order_everywhere(site, rounds):
-    """Send an order to each instance in turn; return the statuses."""
+    """Send an order to each instance in each round; return the statuses."""
     statuses = []
     for _ in range(rounds):
         for number in range(1, INSTANCES + 1):
@@ -20,11 +20,11 @@
     return statuses
 
 
-async def test_failing_server_is_left_by_all_instances(case, site):
-    """One of three servers answers every order with an error at once.
+async def test_failing_server_is_avoided_by_all_instances(case, site):
+    """A server that fails at once would get most orders, as it looks idle.
 
-    Its health check is good and it is the emptiest. Each instance sends it
-    few orders; alone, each would have to fail two of its own to find out.
+    Each instance sends it few orders, so that each would have to detect the
+    failures by its own ones.
     """
     await site.start(INSTANCES)
     await site.add_target('t3')
@@ -32,14 +32,14 @@
     site.targets['t1'].faults.extend([targets.Fault.ERROR] * 1000)
     statuses = await _order_everywhere(site, 10)
     case.assertLessEqual(statuses.count(500), 8)
-    told = [
+    has_logged = [
         site.list_events(f'i{number}', 'target_sick')
         for number in range(1, INSTANCES + 1)
     ]
-    case.assertTrue(all(told))
+    case.assertTrue(all(has_logged))
 
 
-async def test_server_that_works_again_is_used_again(case, site):
+async def test_recovered_server_is_used_again(case, site):
     await site.start(INSTANCES)
     site.targets['t1'].faults.extend([targets.Fault.ERROR] * 6)
     await _order_everywhere(site, 4)
@@ -51,10 +51,10 @@
     case.assertGreaterEqual(len(site.targets['t1'].executions), 3)
 
 
-async def test_bad_link_of_one_instance_condemns_no_server(
+async def test_broken_link_of_one_instance_marks_no_server_unhealthy(
     case, site, network
 ):
-    """One instance can't reach a server that serves all others well."""
+    """One instance can't reach a server that serves all others."""
     await site.start(INSTANCES)
     network.cut('10.1.0.1', '10.8.0.3')
     for _ in range(10):
