--- a/tests/gateway/site.py
+++ b/tests/gateway/site.py
@@ -1,4 +1,4 @@
-"""A whole small site: a store, servers, instances and a caller."""
+"""A small deployment for tests: a fake store, targets and instances."""
 
 import asyncio
 import contextvars
@@ -27,8 +27,8 @@
 LIMITS = quotas.Tolerance(5.0, 0.1, 2.0)
 
 
-class Answer(typing.NamedTuple):
-    """What a caller got."""
+class Response(typing.NamedTuple):
+    """The response that a caller received."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -39,10 +39,10 @@
 
 
 class Site:
-    """Stand-ins and instances on one loop.
+    """A deployment on one event loop.
 
-    ``set_host`` is called with the host whose code is about to start, so
-    that a network in memory knows who opens a connection.
+    ``set_host`` is called with the address of a host before its code starts,
+    so that a simulated network knows the source of each connection.
     """
 
     def __init__(
@@ -57,11 +57,9 @@
         self.instances: dict[str, instance_module.Instance] = {}
         self.loggers: dict[str, logs.Logger] = {}
         self._set_host = set_host
-        self._source = random.Random(seed)
-        self._requests = 0
-        # Told to instances as they start.
+        self._rng = random.Random(seed)
+        self._request_count = 0
         self._is_first_start = False
-        # What may run beyond limits of organisations.
         self.tolerance = LIMITS
 
     async def start(self, instances: int = 2) -> None:
@@ -79,13 +77,13 @@
         for number in range(1, instances + 1):
             await self.add_instance(f'i{number}')
         self._is_first_start = False
-        # The instances find each other within a few probes.
+        # Wait until the instances know each other.
         await self.timers.sleep(3.0)
 
     async def add_target(
         self, name: str, host: str | None = None
     ) -> targets_module.TargetStandin:
-        """Start a server and register it."""
+        """Start a target and register it."""
         target = targets_module.TargetStandin(name)
         target.events = 4 if name.startswith('m') else 0
         self.targets[name] = target
@@ -97,7 +95,7 @@
     def register(
         self, name: str, address: str, state: str = 'ready', born: int = 1
     ) -> None:
-        """Write a server's row."""
+        """Write the row of a target to the store."""
         service = 'models' if name.startswith('m') else 'tools'
         row = calls.make_server_row(
             service, address, self.targets[name].slots, state, born=born
@@ -110,25 +108,25 @@
         """Start an instance."""
         host = host or f'10.1.0.{name[1:]}'
         logger = logs.Logger.from_config(name, self.timers, 5000)
-        front = instance_module.Instance(
+        instance = instance_module.Instance(
             make_settings(name, host, self._is_first_start, self.tolerance),
             wire.PlatformDialect(),
             self.timers,
             logger,
-            random.Random(self._source.random()),
+            random.Random(self._rng.random()),
         )
-        self.instances[name] = front
+        self.instances[name] = instance
         self.loggers[name] = logger
         context = contextvars.copy_context()
         context.run(self._set_host, host)
         loop = asyncio.get_running_loop()
-        await loop.create_task(front.start(), context=context)
-        return front
+        await loop.create_task(instance.start(), context=context)
+        return instance
 
     def make_request_id(self) -> str:
-        """Return a new request id."""
-        self._requests += 1
-        return f'r{self._requests:04d}'
+        """Return a new request ID."""
+        self._request_count += 1
+        return f'r{self._request_count:04d}'
 
     async def call(
         self,
@@ -138,23 +136,24 @@
         method: bytes = b'POST',
         extra_headers: headers_module.Headers = (),
         connection: client.Connection | None = None,
-        **more: str,
-    ) -> Answer:
-        """Send a request to an instance and return the whole answer.
-
-        ``more`` holds further header fields by their names' last words, with
-        underscores, ``extra_headers`` some as they are. The request goes over
-        ``connection``, if given, which then stays open.
+        **header_fields: str,
+    ) -> Response:
+        """Send a request to an instance and return the complete response.
+
+        ``header_fields`` holds fields by their name without the prefix
+        ``X-Vanillayoke-`` and with underscores, ``extra_headers`` holds fields
+        with their full name. If ``connection`` is given, it is used and left
+        open.
         """
         address = self.instances[instance].settings.front
         headers = calls.make_headers(
-            more.pop('request', None) or self.make_request_id()
+            header_fields.pop('request', None) or self.make_request_id()
         )
-        key = more.pop('key', None)
+        key = header_fields.pop('key', None)
         if key is not None:
             headers.append((b'Authorization', f'Bearer {key}'.encode()))
         headers += extra_headers
-        headers += calls.make_fields(**more)
+        headers += calls.make_fields(**header_fields)
         used = connection or await client.Pool(1.0).open(address)
         try:
             target = f'/{route}/x'.encode()
@@ -164,8 +163,8 @@
         finally:
             if connection is None:
                 used.abort()
-        found = {name.lower(): value for name, value in head.headers}
-        return Answer(head.status, found, content)
+        received = {name.lower(): value for name, value in head.headers}
+        return Response(head.status, received, content)
 
     async def turn(
         self,
@@ -177,10 +176,10 @@
         budget: int = 1000,
         max_tokens: int = 40,
         previous: str | None = None,
-        **others: str,
-    ) -> Answer:
-        """Send a turn of a program; ``others`` as in ``call``."""
-        more = {
+        **header_fields: str,
+    ) -> Response:
+        """Send a turn of a program; ``header_fields`` as in ``call``."""
+        program_fields = {
             'request': request,
             'program_id': program,
             'session_id': f's-{program}',
@@ -189,8 +188,10 @@
             'program_deadline_ms': '5000',
         }
         if previous is not None:
-            more['previous_turn'] = previous
-        return await self.call(instance, route, body, **more, **others)
+            program_fields['previous_turn'] = previous
+        return await self.call(
+            instance, route, body, **program_fields, **header_fields
+        )
 
     def configure(
         self,
@@ -208,7 +209,7 @@
         )
 
     def list_runs(self, request: str) -> list[targets_module.Run]:
-        """Return the runs of a request at all servers."""
+        """Return the executions of a request at all targets."""
         return [
             run
             for target in self.targets.values()
@@ -217,7 +218,7 @@
         ]
 
     def list_events(self, instance: str, name: str) -> list[dict]:
-        """Return the fields of an instance's log events of one kind."""
+        """Return the fields of an instance's log events with a name."""
         dump = self.loggers[instance].timeline.dump()
         return [
             event['fields']
--- a/tests/gateway/site_fixtures.py
+++ b/tests/gateway/site_fixtures.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: a whole small site on a network in memory."""
+"""Fixtures and helpers for tests with a site on a simulated network."""
 
 import asyncio
 
@@ -26,30 +26,30 @@
 
 
 def rank_coordinators(program, names):
-    """Return instances, the best home for a program first."""
-    left = [homes_ranking.HomeMember(name, '') for name in names]
+    """Return instances in their order of preference as coordinator."""
+    remaining = [homes_ranking.HomeMember(name, '') for name in names]
     ranked = []
-    while left:
-        best = homes_ranking.find_home(program, left)
+    while remaining:
+        best = homes_ranking.find_home(program, remaining)
         ranked.append(best.instance)
-        left.remove(best)
+        remaining.remove(best)
     return ranked
 
 
-def find_program_with_ranking(*wanted):
-    """Return a program whose homes rank in the order wanted."""
+def find_program_with_ranking(*instances):
+    """Return a program for which the instances rank in the given order."""
     names = (f'new{number}' for number in range(100_000))
     return next(
         name
         for name in names
-        if rank_coordinators(name, wanted) == list(wanted)
+        if rank_coordinators(name, instances) == list(instances)
     )
 
 
-async def call_or_error(site, instance, route, **more):
-    """Return an answer, or the error that ended it."""
+async def call_or_error(site, instance, route, **header_fields):
+    """Return the response to a request, or the exception raised."""
     try:
-        return await site.call(instance, route, **more)
+        return await site.call(instance, route, **header_fields)
     except Exception as error:
         return error
 
@@ -57,7 +57,7 @@
 async def try_turn(
     site, instance, request, program, budget, max_tokens, route
 ):
-    """Return the answer to a turn; ``None`` if the connection failed."""
+    """Return the response to a turn, ``None`` if the connection failed."""
     try:
         return await site.turn(
             instance,
@@ -72,20 +72,20 @@
 
 
 def kill(site, network, name):
-    """End an instance at once, as a loss of power does."""
-    front = site.instances.pop(name)
-    host = front.settings.ip
+    """Stop an instance abruptly, as a power failure would."""
+    instance = site.instances.pop(name)
+    host = instance.settings.ip
     network.dark.add(host)
-    for task in list(front._tasks):
+    for task in list(instance._tasks):
         task.cancel()
-    front._maintenance_timer.cancel()
-    front._members._tick.cancel()
-    for address in [one for one in network.listeners if one[0] == host]:
+    instance._maintenance_timer.cancel()
+    instance._members._tick.cancel()
+    for address in [key for key in network.listeners if key[0] == host]:
         del network.listeners[address]
-    for address in [one for one in network.sockets if one[0] == host]:
+    for address in [key for key in network.sockets if key[0] == host]:
         del network.sockets[address]
 
 
 async def wait_for_background_work():
-    """Let what runs behind a request come to its end."""
+    """Wait until background work after a request has finished."""
     await asyncio.sleep(0.5)
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -1,4 +1,4 @@
-"""Tests of organisations: their keys, and that nothing of theirs is shared."""
+"""Tests of organisations: authentication by keys, and isolation."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 @fixtures.fixture
 def shop(site):
-    """Return a site that serves two organisations, once it is started."""
+    """Return a function that starts a site with two organisations."""
 
     async def start(instances=2):
         await site.start(instances)
@@ -26,7 +26,7 @@
     return start
 
 
-async def test_unknown_and_missing_keys_open_nothing(case, shop):
+async def test_unknown_and_missing_keys_are_rejected(case, shop):
     site = await shop()
     for key in ('nobody', None):
         answer = await site.call('i1', 'look', key=key)
@@ -34,8 +34,12 @@
     case.assertFalse(any(target.runs for target in site.targets.values()))
 
 
-async def test_targets_get_the_organisation_and_not_the_key(case, shop):
-    """A caller names another organisation, and the key travels on."""
+async def test_targets_receive_organisation_but_not_key(case, shop):
+    """A caller claims to belong to another organisation.
+
+    The claim must be replaced, and the key must be neither forwarded nor
+    logged.
+    """
     site = await shop()
     claims = [
         (b'X-Vanillayoke-Tenant', b'blue'),
@@ -51,8 +55,8 @@
     case.assertNotIn('red-2', str(site.loggers['i1'].timeline.dump()))
 
 
-async def test_without_organisations_no_name_is_passed_on(case, site):
-    """A caller claims an organisation where there are none."""
+async def test_without_organisations_no_name_is_forwarded(case, site):
+    """A caller claims an organisation, but none are configured."""
     await site.start()
     await site.call('i1', 'order', request='r', key='any', tenant='red')
     [run] = site.list_runs('r')
@@ -70,8 +74,8 @@
         case.assertEqual(200, answer.status)
 
 
-async def test_two_keys_in_one_request_count_as_none(case, shop):
-    """Two parts of a system read two keys of the same request."""
+async def test_request_with_two_keys_is_rejected(case, shop):
+    """Ambiguous credentials must not be resolved to either key."""
     site = await shop()
     answer = await site.call(
         'i1',
@@ -91,8 +95,8 @@
     case.assertEqual(200, answer.status)
 
 
-async def test_turns_of_one_name_do_not_mix(case, shop):
-    """Two organisations choose the same request and program names."""
+async def test_turn_names_are_scoped_by_organisation(case, shop):
+    """Two organisations use the same request and program names."""
     site = await shop()
     for key, text in (('red-1', b'red '), ('blue-1', b'blue ')):
         await site.turn('i1', 'same', text, key=key)
@@ -101,40 +105,42 @@
     case.assertTrue(run.body.startswith(b'blue '), run.body)
 
 
-async def test_budgets_of_one_name_do_not_mix(case, shop):
-    """One organisation spends a budget that has the name of another's."""
+async def test_budgets_are_scoped_by_organisation(case, shop):
+    """Two organisations use the same program name for their budgets."""
     site = await shop()
-    spent = {
+    options = {
         'program': 'same',
         'budget': 40,
         'max_tokens': 40,
         'route': 'plan',
     }
     for request, key in (('a', 'red-1'), ('b', 'blue-1')):
-        answer = await site.turn('i1', request, key=key, **spent)
+        answer = await site.turn('i1', request, key=key, **options)
         case.assertEqual(200, answer.status)
     await site_fixtures.wait_for_background_work()
-    answer = await site.turn('i1', 'c', key='red-1', **spent)
+    answer = await site.turn('i1', 'c', key='red-1', **options)
     case.assertEqual(402, answer.status)
 
 
-async def test_key_taken_away_opens_nothing_on_a_kept_connection(case, shop):
+async def test_revoked_key_is_rejected_on_open_connection(case, shop):
     site = await shop()
-    kept = await client.Pool(1.0).open(site.instances['i1'].settings.front)
-    before = await site.call('i1', 'look', key='red-1', connection=kept)
-    case.assertEqual(200, before.status)
+    connection = await client.Pool(1.0).open(
+        site.instances['i1'].settings.front
+    )
+    answer = await site.call('i1', 'look', key='red-1', connection=connection)
+    case.assertEqual(200, answer.status)
     site.configure(3, [calls.make_organisation('red', 'red-2'), BLUE])
     await asyncio.sleep(0.2)
     for key, status in (('red-1', 401), ('red-2', 200)):
-        answer = await site.call('i1', 'look', key=key, connection=kept)
+        answer = await site.call('i1', 'look', key=key, connection=connection)
         case.assertEqual(status, answer.status)
-    kept.abort()
+    connection.abort()
 
 
-async def test_version_comes_through_others_where_the_store_is_silent(
+async def test_configuration_arrives_through_other_instances(
     case, shop, network
 ):
-    """A key is taken away while the store is silent to one instance."""
+    """A key is revoked while an instance cannot reach the store."""
     site = await shop(4)
     network.cut('10.1.0.1', '10.9.0.1')
     site.configure(3, [BLUE])
@@ -143,12 +149,12 @@
     case.assertEqual(200, (await site.call('i1', 'look', key='blue-1')).status)
 
 
-async def test_strict_instance_refuses_what_it_cannot_confirm(case, shop):
-    """Nobody can say whether a key was taken away while the store is off."""
+async def test_strict_instance_refuses_unconfirmed_keys(case, shop):
+    """While the store is unresponsive, keys may have been revoked."""
     site = await shop()
-    front = site.instances['i1']
-    bounds = front.settings.bounds._replace(is_revocation_strict=True)
-    front.settings = front.settings._replace(bounds=bounds)
+    instance = site.instances['i1']
+    bounds = instance.settings.bounds._replace(is_revocation_strict=True)
+    instance.settings = instance.settings._replace(bounds=bounds)
     case.assertEqual(200, (await site.call('i1', 'look', key='red-1')).status)
     site.store.mode = store_module.Mode.MUTE
     await asyncio.sleep(messages.Bounds(1, 1, 1, 1).revocation + 0.5)
--- a/tests/gateway/test_outages.py
+++ b/tests/gateway/test_outages.py
@@ -1,4 +1,4 @@
-"""Tests of a store that is away, slow or away for some only."""
+"""Tests with a store that is unavailable or slow, entirely or in part."""
 
 import asyncio
 
@@ -11,11 +11,10 @@
 from vanillayoke.testing import fixtures
 
 
-async def test_turn_waits_for_the_stores_return(case, site):
-    """The store is away for a second and a half.
+async def test_turn_waits_for_store_to_recover(case, site):
+    """A program that starts in a short outage waits until it ends.
 
-    A program that starts meanwhile waits and is served when it is back,
-    instead of failing after a few refusals.
+    It must not fail after a few refusals.
     """
     await site.start()
     site.store.mode = store_module.Mode.RESET
@@ -29,31 +28,24 @@
     case.assertEqual(200, answer.status)
 
 
-async def test_turn_is_refused_at_once_in_a_long_outage(case, site):
-    """The store has been away for long, and stays so.
-
-    Who comes now is told at once to come back later, not held for most of
-    the time that it has.
-    """
+async def test_turn_is_refused_at_once_in_long_outage(case, site):
+    """In a long outage, callers must not wait until their deadline."""
     await site.start()
     site.store.mode = store_module.Mode.BUSY
     await asyncio.sleep(40.0)
     for number in range(3):
-        began = site.timers.now()
+        started_at = site.timers.now()
         answer = await site.turn('i1', f'a{number}', program=f'p{number}')
         case.assertEqual(503, answer.status)
         case.assertGreater(float(answer.headers[b'retry-after']), 0.5)
-        case.assertLess(site.timers.now() - began, 0.5)
+        case.assertLess(site.timers.now() - started_at, 0.5)
         case.assertEqual([], site.list_runs(f'a{number}'))
 
 
-async def test_turn_that_may_be_served_waits_in_an_outage_of_seconds(
-    case, site
-):
-    """The store has been away for four seconds when a program goes on.
+async def test_turn_waits_in_short_outage(case, site):
+    """A short outage is likely to end before the deadline.
 
-    Its callers have but three tries. Told to come back at once, they would
-    have used them up before the store is back, two seconds later.
+    Immediate refusals would use up the caller's retries before that.
     """
     await site.start()
     await site.turn('i1', 'a')
@@ -72,28 +64,27 @@
     case.assertEqual([200] * 4, [answer.status for answer in answers])
 
 
-async def test_turn_that_waited_in_vain_may_come_back_at_once(case, site):
-    """The outage outlasts what the caller takes without a byte.
+async def test_turn_that_waited_in_vain_may_retry_at_once(case, site):
+    """An outage lasts longer than the caller waits for the first byte.
 
-    The refusal comes before the caller gives up, says truly that the turn
-    has not run, and asks for no pause: the next try waits in its turn.
+    The refusal must arrive before the caller gives up, and allow an immediate
+    retry, because the retry waits for the store again.
     """
     await site.start()
     site.store.mode = store_module.Mode.BUSY
     await asyncio.sleep(4.0)
-    began = site.timers.now()
+    started_at = site.timers.now()
     answer = await site.turn('i1', 'a', program='new')
     case.assertEqual(503, answer.status)
-    case.assertLess(site.timers.now() - began, 2.0)
+    case.assertLess(site.timers.now() - started_at, 2.0)
     case.assertLess(float(answer.headers[b'retry-after']), 0.1)
     case.assertEqual([], site.list_runs('a'))
 
 
-async def test_turn_that_has_run_waits_for_its_row(case, site):
-    """The store goes while a turn's answer is on its way to the caller.
+async def test_completed_turn_waits_to_be_stored(case, site):
+    """The store fails while a turn's response is streamed.
 
-    All of it is out but its end. The caller waits on, so the answer is
-    whole when the store is back after two and a half seconds.
+    The end of the response is delayed until the turn is stored.
     """
     await site.start()
     for target in site.targets.values():
@@ -109,11 +100,13 @@
     case.assertIn('a', site.store.list_table('turns'))
 
 
-async def test_turns_go_on_while_some_parts_of_the_store_are_down(case, site):
-    """A third of the store's parts refuse for seconds, the others serve.
+async def test_turns_continue_while_some_partitions_are_unavailable(
+    case, site
+):
+    """A third of the store's partitions are unavailable.
 
-    Turns whose row belongs in one of them are kept in another, and are found
-    there by every instance. Nobody takes the whole store for gone.
+    Turns are stored in other partitions and found there by every instance.
+    The store as a whole must not be considered unavailable.
     """
     await site.start(3)
     for number in range(6):
@@ -122,10 +115,10 @@
     site.store.down = set(names[::3])
     for number in range(60):
         turns = (f'a{number}', f'b{number}')
-        if any(_is_nowhere(site, turn) for turn in turns):
+        if any(_is_unavailable(site, turn) for turn in turns):
             continue
         if parts.find_part(f'p{number}') in site.store.down:
-            # Its budget can't be granted meanwhile; see below.
+            # The budget cannot be granted; the next test covers this.
             continue
         first = await site.turn(
             'i1', f'a{number}', b'one', program=f'p{number}'
@@ -145,14 +138,11 @@
         case.assertLess(len(lost), 8)
 
 
-async def test_kept_turn_gets_no_credit_while_its_budgets_part_is_down(
-    case, site
-):
-    """One part of the store is down, the one with a program's budget.
+async def test_no_credit_while_partition_of_budget_is_unavailable(case, site):
+    """The partition with a program's budget is unavailable.
 
-    Its home is sure and other parts work. Given on credit, the tokens would
-    be forgotten if all instances lost power before the part is back, and the
-    program would get them again: one got 2,465 of 1,734 tokens so.
+    Tokens granted on credit would be lost if all instances failed, and the
+    program could then exceed its budget.
     """
     await site.start(3)
     for name in site.instances:
@@ -165,18 +155,17 @@
         case.assertEqual([], site.list_events(name, 'budget_on_credit'))
 
 
-def _is_nowhere(site, turn):
-    """Return whether all places of a turn are down: one in 27 has to wait."""
+def _is_unavailable(site, turn):
+    """Return whether all candidate partitions of a turn are unavailable."""
     return site.store.down.issuperset(
         parts.list_places(turn, histories.CANDIDATE_PARTITION_COUNT)
     )
 
 
-async def test_turn_is_unknown_only_if_all_its_places_say_so(case, site):
-    """A turn was kept in its second place, and that part is down now.
+async def test_turn_is_unknown_only_if_absent_in_all_partitions(case, site):
+    """The partition that has a turn is unavailable, the others respond.
 
-    Its first place says that it is not there. A 404 would tell the program
-    that its history is lost.
+    A 404 would tell the program that its history is lost.
     """
     await site.start()
     places = parts.list_places('a', histories.CANDIDATE_PARTITION_COUNT)
@@ -192,11 +181,11 @@
     case.assertEqual(404, answer.status)
 
 
-async def test_silent_store_is_noticed_soon_when_it_is_back(case, site):
-    """The store takes connections and answers nothing for five seconds.
+async def test_recovery_of_unresponsive_store_is_detected_quickly(case, site):
+    """The store accepts connections but does not respond for a while.
 
-    What was sent into the silence never gets an answer; only calls sent
-    afterwards do, so none may wait for the old ones.
+    Calls sent in that time never get a response, so later calls must not
+    wait for them.
     """
     await site.start()
     site.store.mode = store_module.Mode.MUTE
@@ -208,7 +197,7 @@
         case.assertEqual(200, answer.status)
 
 
-async def test_few_calls_go_to_a_store_that_is_away(case, site):
+async def test_unavailable_store_gets_few_calls(case, site):
     await site.start()
     site.store.mode = store_module.Mode.BUSY
     await asyncio.sleep(1.0)
@@ -217,13 +206,10 @@
     case.assertLess(site.store.calls.total(), 2 * 4 * 6)
 
 
-async def test_instance_cut_off_from_the_store_asks_through_others(
-    case, site, network
-):
-    """The store turns one machine away and serves the others.
+async def test_instance_without_store_access_uses_relays(case, site, network):
+    """One instance cannot reach the store, but others can.
 
-    Its callers notice nothing: kept turns, history and configuration go
-    through another instance.
+    Its reads and writes must be relayed through them.
     """
     await site.start(3)
     network.cut('10.1.0.1', '10.9.0.1')
@@ -237,24 +223,21 @@
     case.assertEqual(200, (await site.call('i1', 'new')).status)
 
 
-async def test_relay_that_is_turned_away_too_is_passed_over(
-    case, site, network
-):
-    """The store turns a third of the instances away, all at once.
+async def test_relay_without_store_access_is_skipped(case, site, network):
+    """A third of the instances cannot reach the store.
 
-    One of them asks another for its way to the store; that one may be
-    turned away as well. Its callers' turns must go through a third one
-    instead of being refused for a while.
+    When a relay cannot reach the store either, the call must be relayed
+    through another instance instead of failing.
     """
     await site.start(9)
     for number in (1, 2, 3):
         network.cut(f'10.1.0.{number}', '10.9.0.1')
     await asyncio.sleep(3.0)
-    began = site.timers.now()
+    started_at = site.timers.now()
     for number in range(12):
         answer = await site.turn('i1', f'a{number}', program=f'p{number}')
         case.assertEqual(200, answer.status)
-    case.assertLess(site.timers.now() - began, 12 * 0.2)
+    case.assertLess(site.timers.now() - started_at, 12 * 0.2)
 
 
 def _add_route():
@@ -262,13 +245,11 @@
     return calls.make_configuration(2, [*site_module.ROUTES, route])
 
 
-async def test_isolated_instance_sends_its_callers_elsewhere(
-    case, site, network
-):
-    """One machine is cut off from the store and from all others.
+async def test_isolated_instance_redirects_callers(case, site, network):
+    """An instance can reach neither the store nor other instances.
 
-    Callers still reach it. It can't grant or keep anything, so it says so at
-    once, and its directory names nobody instead of itself alone.
+    It cannot serve turns, so it must refuse them at once, so that callers
+    use another instance.
     """
     await site.start(4)
     for other in ('10.1.0.2', '10.1.0.3', '10.1.0.4', '10.9.0.1'):
@@ -276,19 +257,16 @@
     await asyncio.sleep(4.0)
     case.assertFalse(site.instances['i1'].is_ready)
     case.assertTrue(site.instances['i2'].is_ready)
-    began = site.timers.now()
+    started_at = site.timers.now()
     answer = await site.turn('i1', 'a', program='new')
     case.assertEqual(503, answer.status)
     case.assertEqual(b'close', answer.headers[b'connection'])
-    case.assertLess(site.timers.now() - began, 0.3)
+    case.assertLess(site.timers.now() - started_at, 0.3)
     case.assertEqual(200, (await site.call('i1', 'order')).status)
 
 
-async def test_slow_store_is_not_asked_again_and_again(case, site):
-    """Each answer takes a hundred times as long as usual.
-
-    Asking again before an answer can be there would only add to its load.
-    """
+async def test_slow_store_is_not_called_repeatedly(case, site):
+    """A slow store must not be loaded further by early retries."""
     await site.start()
     site.store.delay = 0.5
     site.store.calls.clear()
--- a/tests/gateway/test_turns.py
+++ b/tests/gateway/test_turns.py
@@ -1,4 +1,4 @@
-"""Tests of turns: their stream, history and budget, with what may fail."""
+"""Tests of turns: streaming, history and budgets, also under failures."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
     return b''.join(b'%s:%d\n' % (request, n) for n in range(1, events + 1))
 
 
-async def test_turn_streams_the_servers_events(case, site):
+async def test_turn_streams_events_of_target(case, site):
     await site.start()
     answer = await site.turn('i1', 'a')
     case.assertEqual(200, answer.status)
@@ -27,11 +27,11 @@
     case.assertEqual(b'hello', run.body)
 
 
-async def test_history_is_rebuilt_byte_for_byte_elsewhere(case, site):
-    """A conversation goes on at another instance.
+async def test_history_is_complete_at_another_instance(case, site):
+    """A conversation continues at another instance.
 
-    The caller sends only what is new; the server has to get all that was
-    said, each turn's input and then the data of its events.
+    The caller sends only the new input; the target must receive the whole
+    history: the input of each turn followed by the data of its events.
     """
     await site.start()
     await site.turn('i1', 'a', b'one')
@@ -42,8 +42,8 @@
     case.assertEqual(expected + b'three', run.body)
 
 
-async def test_long_history_keeps_whole_over_many_rows(case, site):
-    """A long conversation outgrows what one row of the store holds."""
+async def test_long_history_spans_several_rows(case, site):
+    """The text of a long conversation exceeds one row of the store."""
     await site.start()
     expected = b''
     previous = None
@@ -58,10 +58,10 @@
     case.assertEqual(expected + b'!', run.body)
 
 
-async def test_turn_of_another_program_is_found_by_its_id(case, site):
-    """After all machines lost power new programs go on from old turns.
+async def test_turn_of_another_program_is_found(case, site):
+    """New programs continue from turns of other programs.
 
-    Their names say nothing of the part that the old turn's row lies in.
+    The partition of a turn must not depend on its program.
     """
     await site.start()
     for number in range(6):
@@ -74,14 +74,14 @@
         case.assertEqual(200, answer.status)
 
 
-async def test_unknown_turn_is_404_and_does_not_run(case, site):
+async def test_unknown_turn_returns_404_and_does_not_run(case, site):
     await site.start()
     answer = await site.turn('i1', 'a', previous='nowhere')
     case.assertEqual(404, answer.status)
     case.assertEqual([], site.list_runs('a'))
 
 
-async def test_turn_is_not_called_unknown_while_the_store_is_away(case, site):
+async def test_turn_is_not_unknown_while_store_is_unavailable(case, site):
     await site.start()
     await site.turn('i1', 'a')
     site.store.mode = store_module.Mode.BUSY
@@ -92,10 +92,9 @@
 
 
 async def test_turn_is_durable_before_its_response_ends(case, site):
-    """Power fails right after the end of a response.
+    """A complete response must not be lost in a power failure.
 
-    What the caller has seen whole has to be found again, so the end of the
-    response waits for the store.
+    So the end of the response waits until the turn is stored.
     """
     await site.start()
     await site.turn('i1', 'warm', b'old')
@@ -108,11 +107,10 @@
     case.assertEqual(200, answer.status)
 
 
-async def test_lost_reply_of_the_store_does_not_lose_the_turn(case, site):
-    """The store keeps the turn but its reply is lost on the way.
+async def test_lost_response_of_store_does_not_lose_turn(case, site):
+    """The store commits a turn, but its response is lost.
 
-    The repeated write finds the row there already and has to know it for
-    its own.
+    The repeated write must recognise the existing row as its own.
     """
     await site.start()
     await site.turn('i1', 'warm')
@@ -122,10 +120,10 @@
     case.assertIn('a', site.store.list_table('turns'))
 
 
-async def test_budget_holds_over_instances(case, site):
-    """Turns of one program run through all instances at once.
+async def test_budget_is_enforced_across_instances(case, site):
+    """Turns of one program run at all instances concurrently.
 
-    Each turn makes 40 tokens and may make 40; a budget of 100 holds two.
+    Each turn reserves and uses 40 tokens; the budget of 100 allows two.
     """
     await site.start(3)
     answers = await asyncio.gather(
@@ -140,7 +138,7 @@
     case.assertEqual(2, ran)
 
 
-async def test_unused_part_of_a_reservation_is_given_back(case, site):
+async def test_unused_reserved_tokens_are_returned(case, site):
     await site.start()
     statuses = []
     for number in range(5):
@@ -149,14 +147,15 @@
         )
         statuses.append(answer.status)
         await site_fixtures.wait_for_background_work()
-    # 40 of 100 reserved tokens are used each time; 100 left hold one more.
+    # Each turn uses 40 of its 100 reserved tokens.
     case.assertEqual([200, 200, 200, 402, 402], statuses)
 
 
-async def test_budget_survives_the_death_of_its_home(case, site, network):
-    """The instance that keeps a program's budget loses power.
+async def test_budget_survives_failure_of_coordinator(case, site, network):
+    """A program's coordinator fails.
 
-    What it had been granted stays spent: the program gets less, never more.
+    The tokens granted to it count as spent, so the program never gets more
+    than its budget.
     """
     await site.start(3)
     homes = site.instances['i1']._members.list_homes()
@@ -175,11 +174,11 @@
     case.assertGreater(tokens, 200)
 
 
-async def test_stream_that_broke_off_is_never_said_not_to_have_run(case, site):
-    """A planner's stream breaks off before its first event; its server ends.
+async def test_failed_stream_is_never_reported_as_not_run(case, site):
+    """A stream fails before its first event, and its target ends.
 
-    The second try finds nobody listening there, and all other servers are
-    full. The first try may have run, so the caller is not told "not run".
+    Other targets are unavailable. The first attempt may have run, so the
+    status must not promise that the request did not run.
     """
     await site.start(1)
     site.targets['m2'].stop()
@@ -187,7 +186,7 @@
     await asyncio.sleep(0.2)
     site.targets['m1'].faults.append(targets.Fault.LOSE_ANSWER)
     task = asyncio.ensure_future(site.turn('i1', 'a', route='plan'))
-    # The first try has begun there by then, and not yet broken off.
+    # The first attempt has started and not yet failed.
     await asyncio.sleep(0.015)
     case.assertEqual(1, len(site.list_runs('a')))
     for listener in site.targets['m1']._server._servers:
@@ -199,14 +198,13 @@
     case.assertNotIn(answer.status, (402, 408, 421, 429, 503))
 
 
-async def test_small_budget_outlives_the_death_of_its_home(
+async def test_small_budget_survives_failure_of_coordinator(
     case, site, network
 ):
-    """A program of two turns loses its home between them.
+    """A program's coordinator fails between two turns.
 
-    The home was granted most of the budget for the first turn and dies with
-    what that did not use. The second turn has to run all the same; a program
-    that goes on without end gets one turn more than its budget at the most.
+    Most of the budget was granted to it and is lost. The second turn must
+    still run, and the program exceeds its budget by at most one turn.
     """
     await site.start(3)
     answer = await site.turn(
@@ -233,11 +231,13 @@
     case.assertEqual(402, statuses[-1])
 
 
-async def test_roll_while_the_store_is_away_keeps_budgets(case, site):
-    """Instances are stopped in turn while the store is down.
+async def test_rolling_restart_while_store_is_unavailable_keeps_budgets(
+    case, site
+):
+    """Instances are stopped one by one while the store is unavailable.
 
-    What they were granted goes to the programs' next homes directly, so the
-    programs go on though nothing can be asked of the store.
+    They hand their granted tokens over to the next coordinators directly, so
+    that the programs continue.
     """
     await site.start(3)
     for number in range(6):
@@ -255,11 +255,11 @@
         case.assertEqual(200, answer.status)
 
 
-async def test_new_instance_takes_over_what_the_former_home_has(case, site):
-    """An instance joins and becomes the home of programs under way.
+async def test_new_coordinator_takes_over_unused_tokens(case, site):
+    """An instance joins and becomes the coordinator of running programs.
 
-    A budget of 160 was granted in whole; the new home needs what is left of
-    it at the old one, not a grant that the row has no room for.
+    Their budgets are completely granted to the former coordinator; the new
+    one must get the unused tokens from there.
     """
     await site.start(1)
     programs = [f'p{number}' for number in range(8)]
@@ -277,21 +277,23 @@
         case.assertEqual(200, answer.status)
 
 
-async def test_transfer_that_is_repeated_counts_once(case, site):
-    """The answer to a transfer is lost and the transfer comes again."""
+async def test_repeated_transfer_counts_once(case, site):
+    """The response to a transfer is lost, and the transfer is repeated."""
     await site.start(1)
-    front = site.instances['i1']
+    instance = site.instances['i1']
     transfer = peer_messages.Transfer('p1', 100)
     data = peers.QUESTION + msgspec.msgpack.encode([7, transfer])
-    front._peers.receive(data, '10.1.0.9:7380')
-    front._peers.receive(data, '10.1.0.9:7380')
-    case.assertEqual(100, front._ledger.withdraw('p1'))
+    instance._peers.receive(data, '10.1.0.9:7380')
+    instance._peers.receive(data, '10.1.0.9:7380')
+    case.assertEqual(100, instance._ledger.withdraw('p1'))
 
 
-async def test_program_under_way_goes_on_while_the_store_is_away(case, site):
-    """The store is down for some seconds in the middle of a program.
+async def test_running_program_continues_while_store_is_unavailable(
+    case, site
+):
+    """The store fails while a program runs.
 
-    Its budget was granted before, so its turns need no store.
+    Its budget is already granted, so its turns do not need the store.
     """
     await site.start()
     await site.turn('i1', 'a', route='plan')
@@ -302,32 +304,31 @@
         case.assertEqual(200, answer.status)
 
 
-async def test_new_program_is_refused_truly_while_the_store_is_away(
-    case, site
-):
-    """Its home is not sure to be its first one: it was taken for gone once.
+async def test_new_program_is_refused_while_store_is_unavailable(case, site):
+    """The coordinator was considered failed once.
 
-    Another instance may have granted the whole budget, so it does not run.
+    Another instance may have granted the whole budget meanwhile, so a new
+    program must not run without the store.
     """
     await site.start()
-    for front in site.instances.values():
-        front._exclusivity.note_program()
-        front._exclusivity.note_break(site.timers.now())
+    for instance in site.instances.values():
+        instance._exclusivity.note_program()
+        instance._exclusivity.note_break(site.timers.now())
     site.store.mode = store_module.Mode.BUSY
     await asyncio.sleep(1.0)
-    began = site.timers.now()
+    started_at = site.timers.now()
     answer = await site.turn('i1', 'a', route='plan', program='new')
     case.assertEqual(503, answer.status)
     case.assertIn(b'retry-after', answer.headers)
     case.assertEqual([], site.list_runs('a'))
-    case.assertLess(site.timers.now() - began, 3.0)
+    case.assertLess(site.timers.now() - started_at, 3.0)
 
 
-async def test_late_write_of_a_grant_is_not_counted_twice(case, site):
-    """The store takes a grant over two seconds after it fell silent.
+async def test_late_write_of_grant_counts_once(case, site):
+    """The store applies the write of a grant after the write timed out.
 
-    The repeated write and the late one must not both count, nor may the
-    program get tokens that no row holds.
+    The late write and its repetition must count once, and the program must
+    not get tokens that are not in the store.
     """
     await site.start()
     site.store.late_writes = 1
@@ -342,7 +343,7 @@
     case.assertEqual([200, 402, 402, 402], statuses)
 
 
-async def test_stream_cut_within_an_event_does_not_look_complete(case, site):
+async def test_stream_cut_within_event_is_incomplete(case, site):
     await site.start()
     for target in site.targets.values():
         target.faults.append(targets.Fault.CUT_ANSWER)
@@ -354,13 +355,11 @@
     case.assertNotIn('a', site.store.list_table('turns'))
 
 
-async def test_stream_that_may_be_resumed_goes_on_with_each_event_once(
-    case, site
-):
-    """A server breaks a stream off within an event.
+async def test_resumed_stream_delivers_each_event_once(case, site):
+    """A target aborts a stream within an event.
 
-    The request goes on at that server behind the last whole event; the
-    caller sees one answer with every event once.
+    The request resumes after the last complete event, and the caller gets
+    one response with each event once.
     """
     await site.start()
     site.store.put('servers', 'm2', None)
@@ -376,10 +375,12 @@
     case.assertEqual(b'2', runs[1].headers[b'last-event-id'])
 
 
-async def test_stream_that_may_have_run_is_never_called_not_run(case, site):
-    """A server takes a stream, breaks off, and leaves; no other is there.
+async def test_aborted_stream_without_targets_is_not_reported_as_not_run(
+    case, site
+):
+    """A target aborts a stream and leaves, and there is no other target.
 
-    It may have run, so the answer must not promise that it did not.
+    The request may have run, so the status must not promise that it did not.
     """
     await site.start()
     site.store.put('servers', 'm2', None)
@@ -394,7 +395,7 @@
     case.assertEqual(502, answer.status)
 
 
-async def test_resumable_stream_stays_at_the_servers_it_may_run_at(case, site):
+async def test_resumable_stream_stays_at_its_targets(case, site):
     await site.start()
     route = calls.make_route('plan', 'models', 'stream', resumable=True)
     site.store.put('op', 'config', calls.make_configuration(2, [route]))
@@ -407,7 +408,7 @@
     case.assertEqual(1, len(ran_at))
 
 
-async def test_client_that_leaves_ends_the_work_at_the_server(case, site):
+async def test_client_disconnect_cancels_work_at_target(case, site):
     await site.start()
     for target in site.targets.values():
         target.gap = 1.0
--- a/tests/gateway/test_plain.py
+++ b/tests/gateway/test_unary.py
@@ -1,4 +1,4 @@
-"""Tests of tools' calls: at most once, truly refused, the right answer."""
+"""Tests of requests with a single response: execution and retries."""
 
 import asyncio
 
@@ -8,25 +8,24 @@
 from vanillayoke.testing import fixtures
 
 
-def _spoil(site, fault, times=1):
+def _inject(site, fault, times=1):
     for name in ('t1', 't2'):
         site.targets[name].faults.extend([fault] * times)
 
 
-async def test_order_whose_answer_is_lost_runs_once(case, site):
-    """A sample order runs and its answer is lost on the way.
+async def test_unsafe_request_with_lost_response_runs_once(case, site):
+    """An unsafe request runs, and its response is lost.
 
-    Whether it ran is not known here, so it is neither sent again nor called
-    "not run": a second try would be a second invoice.
+    It must neither be sent again nor be reported as not run.
     """
     await site.start()
-    _spoil(site, targets.Fault.LOSE_ANSWER, 3)
+    _inject(site, targets.Fault.LOSE_ANSWER, 3)
     answer = await site.call('i1', 'order', request='a')
     case.assertEqual(502, answer.status)
     case.assertEqual(1, len(site.list_runs('a')))
 
 
-async def test_order_that_a_server_did_not_run_goes_to_another(case, site):
+async def test_request_not_run_by_target_goes_to_another(case, site):
     await site.start()
     site.targets['t1'].faults.append(targets.Fault.SHED)
     site.targets['t2'].faults.append(targets.Fault.SHED)
@@ -36,7 +35,7 @@
     case.assertEqual(1, len(site.list_runs('a')))
 
 
-async def test_safe_call_is_sent_again_after_a_lost_answer(case, site):
+async def test_safe_request_is_retried_after_lost_response(case, site):
     await site.start()
     site.targets['t1'].faults.extend(
         [targets.Fault.LOSE_ANSWER, targets.Fault.GARBAGE]
@@ -49,35 +48,34 @@
     case.assertGreaterEqual(len(site.targets['t1'].runs), 1)
 
 
-async def test_second_answer_to_an_earlier_call_is_skipped(case, site):
-    """A faulty server answers an earlier request again.
+async def test_duplicate_response_to_earlier_request_is_skipped(case, site):
+    """A faulty target sends a second response to an earlier request.
 
-    The bytes arrive where the answer to this one is expected; the caller
-    must get its own answer, and nobody the other one.
+    The caller must get the response to its own request.
     """
     await site.start()
-    _spoil(site, targets.Fault.EXTRA_ANSWER)
+    _inject(site, targets.Fault.EXTRA_ANSWER)
     answer = await site.call('i1', 'order', b'oak', request='a')
     case.assertEqual(b'done oak', answer.body)
 
 
-async def test_cut_answer_is_not_passed_on_as_whole(case, site):
+async def test_truncated_response_is_not_forwarded(case, site):
     await site.start()
-    _spoil(site, targets.Fault.CUT_ANSWER, 3)
+    _inject(site, targets.Fault.CUT_ANSWER, 3)
     answer = await site.call('i1', 'order', request='a')
     case.assertEqual(502, answer.status)
 
 
-async def test_servers_own_error_is_passed_on_unchanged(case, site):
+async def test_error_of_target_is_forwarded_unchanged(case, site):
     await site.start()
-    _spoil(site, targets.Fault.ERROR)
+    _inject(site, targets.Fault.ERROR)
     answer = await site.call('i1', 'order', request='a')
     case.assertEqual((500, b'failed'), (answer.status, answer.body))
     case.assertIn(b'x-vanillayoke-server-stamp', answer.headers)
 
 
-async def test_fields_that_only_the_system_sets_are_dropped(case, site):
-    """A caller sends fields that would hold a server's memory."""
+async def test_reserved_header_fields_are_removed(case, site):
+    """A caller sends header fields that only the gateway may set."""
     await site.start()
     await site.call(
         'i1', 'order', request='a', hold='h1', pin_ms='9000',
@@ -89,7 +87,7 @@
     case.assertIn(b'x-vanillayoke-expect-instance', run.headers)
 
 
-async def test_deadline_is_passed_on_shortened(case, site):
+async def test_remaining_time_is_forwarded(case, site):
     await site.start()
     await site.call('i1', 'order', request='a')
     [run] = site.list_runs('a')
@@ -98,11 +96,10 @@
     case.assertGreater(left, 2500)
 
 
-async def test_address_with_another_server_runs_nothing(case, site, network):
-    """A server has gone and another one has its address.
+async def test_other_target_at_address_runs_nothing(case, site, network):
+    """Another target listens at the address of a former one.
 
-    The request names the server that it is meant for, so the other one
-    says that it did not run it; it then goes to a server that is there.
+    It refuses requests for the former one, which then go to other targets.
     """
     await site.start()
     site.targets['t1'].name = 'somebody-else'
@@ -113,33 +110,31 @@
     case.assertEqual([], site.targets['t1'].runs)
 
 
-async def test_silent_server_does_not_hold_a_call_past_its_time(case, site):
+async def test_unresponsive_target_does_not_exceed_deadline(case, site):
     await site.start()
-    _spoil(site, targets.Fault.MUTE, 3)
-    began = site.timers.now()
+    _inject(site, targets.Fault.MUTE, 3)
+    started_at = site.timers.now()
     answer = await site.call('i1', 'order', request='a')
     case.assertEqual(504, answer.status)
-    case.assertLess(site.timers.now() - began, 3.1)
+    case.assertLess(site.timers.now() - started_at, 3.1)
     case.assertEqual(1, len(site.list_runs('a')))
 
 
-async def test_safe_call_into_silence_is_given_up_in_time_for_another(
-    case, site
-):
-    """A server takes a safe call and says nothing.
+async def test_safe_request_times_out_early_enough_for_retry(case, site):
+    """A target does not respond to a safe request.
 
-    The caller is told soon enough to try again within its deadline.
+    The caller gets an error early enough to retry within its deadline.
     """
     await site.start()
-    _spoil(site, targets.Fault.MUTE, 1)
-    began = site.timers.now()
+    _inject(site, targets.Fault.MUTE, 1)
+    started_at = site.timers.now()
     answer = await site.call('i1', 'look', method=b'GET')
     case.assertEqual(502, answer.status)
-    case.assertLess(site.timers.now() - began, 1.5)
+    case.assertLess(site.timers.now() - started_at, 1.5)
 
 
-async def test_second_try_does_not_meet_the_same_silence(case, site):
-    """One server of two says nothing; the caller tries again at once."""
+async def test_retry_avoids_unresponsive_target(case, site):
+    """One of two targets is unresponsive, and the caller retries at once."""
     await site.start()
     site.targets['t1'].faults.extend([targets.Fault.MUTE] * 20)
     statuses = []
@@ -152,10 +147,10 @@
     case.assertIn(502, statuses)
 
 
-async def test_short_route_times_out_without_blaming_the_server(case, site):
-    """A route allows less time than its requests take.
+async def test_short_route_timeout_does_not_mark_target_unhealthy(case, site):
+    """A route's timeout is shorter than its requests take.
 
-    Each ends at the route's time; the servers are well and stay in use.
+    Requests time out, but the targets must not be marked unhealthy.
     """
     await site.start()
     route = calls.make_route('brief', 'tools', 'safe', timeout_ms=400)
@@ -169,13 +164,13 @@
     case.assertEqual([], site.list_events('i1', 'target_sick'))
 
 
-async def test_path_without_a_route_is_404(case, site):
+async def test_path_without_route_returns_404(case, site):
     await site.start()
     answer = await site.call('i1', 'nowhere')
     case.assertEqual(404, answer.status)
 
 
-async def test_instance_without_configuration_says_come_back(case, site):
+async def test_instance_without_configuration_returns_503(case, site):
     await site.add_instance('i1')
     answer = await site.call('i1', 'order')
     case.assertEqual(503, answer.status)
