--- a/libs/gateway/vanillayoke/gateway/access.py
+++ b/libs/gateway/vanillayoke/gateway/access.py
@@ -1,11 +1,9 @@
 """Authentication of requests by the keys of organisations."""
 
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import refusals
-
+import typing
 
 class Access:
     """Finds the organisation of each request.
@@ -53,7 +51,7 @@
         """Refuse all keys if the configuration may be outdated."""
         bounds = self._get_bounds()
         age = self._timers.now() - self._confirmed_at
-        if bounds.is_revocation_strict and age > bounds.revocation:
+        if bounds.is_revocation_strict and age > bounds.revocation_timeout:
             raise refusals.RefusalError(
                 refusals.Reason.UNCONFIRMED,
                 f'configuration {configuration.version} was confirmed'
--- a/libs/gateway/vanillayoke/gateway/calls.py
+++ b/libs/gateway/vanillayoke/gateway/calls.py
@@ -1,7 +1,5 @@
 """Handling of a caller's request, from arrival to response."""
 
-import asyncio
-
 from vanillayoke.core import events as log_events
 from vanillayoke.core import failures
 from vanillayoke.gateway import catalog as catalog_module
@@ -14,6 +12,7 @@
 from vanillayoke.gateway import unary
 from vanillayoke.scheduling import quotas
 from vanillayoke.transport import server
+import asyncio
 
 # Reserved for sending a refusal before the deadline.
 RESPONSE_MARGIN_SECONDS = 0.03
@@ -107,7 +106,7 @@
         """Serve a request once its organisation's limit admits it."""
         is_turn = progress.route.kind is messages.RouteKind.STREAM
         program = progress.call.program
-        request = quotas.Asked(
+        request = quotas.AdmissionRequest(
             program.name if program else '',
             progress.route.name if is_turn else '',
         )
@@ -124,7 +123,7 @@
                 await self._unary.serve(progress, responder)
         finally:
             if admission is not None and progress.max_runs != 1:
-                limits.add(admission, progress.max_runs - 1)
+                limits.adjust(admission, progress.max_runs - 1)
 
     def _refuse(
         self,
@@ -190,7 +189,7 @@
             program=call.program.name if call.program else None,
             previous=call.previous_turn or None,
             budget=call.program.budget if call.program else None,
-            most=call.most_tokens or None,
+            most=call.max_tokens or None,
             route=progress.route.name if progress.route else None,
             target=progress.target,
             outcome=outcome,
--- a/libs/gateway/vanillayoke/gateway/context.py
+++ b/libs/gateway/vanillayoke/gateway/context.py
@@ -1,22 +1,20 @@
 """The components of an instance that request handlers use."""
 
-import typing
-
 from vanillayoke.core import logs
 from vanillayoke.core import timers
 from vanillayoke.gateway import access as access_module
 from vanillayoke.gateway import catalog as catalog_module
 from vanillayoke.gateway import dialect as dialect_module
 from vanillayoke.gateway import histories as histories_module
-from vanillayoke.gateway import homes as homes_module
 from vanillayoke.gateway import limits as limits_module
+from vanillayoke.gateway import load_queries
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import metrics as metrics_module
-from vanillayoke.gateway import scouting
+from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.gateway import store as store_module
 from vanillayoke.scheduling import occupancy
 from vanillayoke.transport import client
-
+import typing
 
 class Context(typing.NamedTuple):
     """The components that request handlers use.
@@ -35,8 +33,8 @@
     occupancy: occupancy.Occupancy
     pool: client.Pool
     store: store_module.StoreClient
-    reservations: homes_module.Homes
-    load_queries: scouting.Scouts
+    reservations: reservations_module.Reservations
+    load_queries: load_queries.LoadQueries
     histories: histories_module.Histories
     log: logs.Logger
     metrics: metrics_module.Metrics
--- a/libs/gateway/vanillayoke/gateway/dialect.py
+++ b/libs/gateway/vanillayoke/gateway/dialect.py
@@ -1,13 +1,11 @@
 """The interface between the gateway and a platform's wire format."""
 
-import abc
-import typing
-
 from vanillayoke.gateway import messages
 from vanillayoke.transport import client
 from vanillayoke.transport import headers
 from vanillayoke.transport import server
-
+import abc
+import typing
 
 class BadCallError(Exception):
     """A request lacks a required header field, or a field is invalid."""
@@ -52,12 +50,12 @@
 
     @abc.abstractmethod
     def encode_call(
-        self, call: messages.Call, sending: messages.Sending
+        self, call: messages.Call, sending: messages.ForwardOptions
     ) -> headers.Headers:
         """Return the header fields to send to a target."""
 
     @abc.abstractmethod
-    def decode_answer(self, head: client.Head) -> messages.AnswerFacts:
+    def decode_answer(self, head: client.Head) -> messages.ResponseMetadata:
         """Return the metadata in the header of a target's response."""
 
     @abc.abstractmethod
--- a/libs/gateway/vanillayoke/gateway/dispatch.py
+++ b/libs/gateway/vanillayoke/gateway/dispatch.py
@@ -7,8 +7,8 @@
 from vanillayoke.gateway import refusals
 from vanillayoke.programs import scopes
 from vanillayoke.scheduling import occupancy
-from vanillayoke.scheduling import outlook
 from vanillayoke.scheduling import prefixes
+from vanillayoke.scheduling import program_slack
 from vanillayoke.scheduling import slowdown as slowdown_module
 from vanillayoke.scheduling import urgency
 from vanillayoke.transport import client
@@ -54,7 +54,7 @@
         # Set when the request starts to wait for an unavailable store.
         self.store_wait_deadline: float | None = None
         self.urgency: int | None = None
-        self.slack: outlook.Slack | None = None
+        self.slack: program_slack.Slack | None = None
         self.slack_updated_at = started_at
         # From the arrival of the request to the start of its response.
         self.first_event_delay: float | None = None
@@ -113,7 +113,7 @@
 
     def __init__(self, context: context_module.Context) -> None:
         self._context = context
-        self._prefixes: dict[str, prefixes.Prefixes] = {}
+        self._prefixes: dict[str, prefixes.RecentPrefixes] = {}
         self._slowdowns: dict[str, slowdown_module.Slowdown] = {}
 
     def get_slowdown(self, service: str) -> slowdown_module.Slowdown:
@@ -126,28 +126,30 @@
             self._slowdowns[service] = slowdown
         return slowdown
 
-    def _make_criteria(self, progress: Progress) -> occupancy.Wish:
-        criteria = occupancy.Wish(
+    def _make_criteria(self, progress: Progress) -> occupancy.PlacementCriteria:
+        criteria = occupancy.PlacementCriteria(
             progress.affinity_target,
             self._context.settings.zone,
             self.get_slowdown(progress.service).slope,
         )
-        shared_prefix = prefixes.find_shared(progress.call.prefix)
+        shared_prefix = prefixes.get_shared_prefix(progress.call.prefix)
         if shared_prefix is None:
             return criteria
         recent_prefixes = self._prefixes.setdefault(
-            progress.service, prefixes.Prefixes()
+            progress.service, prefixes.RecentPrefixes()
         )
-        recent_prefixes.note(shared_prefix, self._context.timers.now())
+        recent_prefixes.record(shared_prefix, self._context.timers.now())
         services = self._context.catalog.configuration.services
         service = services.get(progress.service)
         if service is None or service.engine is None:
             return criteria
         cache_tokens, slots = service.engine.cache_tokens, service.engine.slots
         return criteria._replace(
-            shared=shared_prefix.name,
-            step=recent_prefixes.find_step(cache_tokens),
-            own=prefixes.find_own(progress.call.prefix, cache_tokens, slots),
+            shared_prefix=shared_prefix.name,
+            rank_cost=recent_prefixes.get_rank_cost(cache_tokens),
+            affinity_value=prefixes.estimate_affinity_value(
+                progress.call.prefix, cache_tokens, slots
+            ),
         )
 
     def make_attempt(
@@ -170,20 +172,20 @@
         progress: Progress,
         target: messages.Target,
         last_event: bytes | None = None,
-    ) -> messages.Sending:
+    ) -> messages.ForwardOptions:
         """Return the options for forwarding the request to a target.
 
         A resumed stream continues after the event ``last_event``.
         """
         now = self._context.timers.now()
         progress.urgency = self._find_urgency(progress)
-        return messages.Sending(
+        return messages.ForwardOptions(
             target.name,
             progress.deadline - now,
             progress.urgency,
             last_event,
             organisation=progress.organisation_name,
-            hides_key=progress.hides_key,
+            strips_key=progress.hides_key,
         )
 
     def _find_urgency(self, progress: Progress) -> int | None:
@@ -195,7 +197,7 @@
             left=progress.slack.left - waited,
             overdue=progress.slack.overdue + waited,
         )
-        return urgency.rank(slack, progress.priority)
+        return urgency.get_level(slack, progress.priority)
 
     async def choose(
         self, progress: Progress, excluded: set[str]
@@ -233,9 +235,9 @@
         self,
         progress: Progress,
         targets: list[messages.Target],
-        criteria: occupancy.Wish,
+        criteria: occupancy.PlacementCriteria,
         excluded: set[str],
-    ) -> occupancy.Place | None:
+    ) -> occupancy.Candidate | None:
         """Return the best target, ``None`` if none has a free slot."""
         candidates = [make_candidate(target) for target in targets]
         state, random_float = (
@@ -246,18 +248,18 @@
         local, remote = occupancy.choose_candidates(
             candidates, state, criteria, excluded, now, random_float
         )
-        loads = await self._context.load_queries.count(local)
+        loads = await self._context.load_queries.query(local)
         now = self._context.timers.now()
-        best = occupancy.choose_counted(
+        best = occupancy.choose_least_loaded(
             local, loads, state, criteria, now, random_float
         )
-        if best is None or not occupancy.is_light(
+        if best is None or not occupancy.is_lightly_loaded(
             best, loads, state, criteria
         ):
-            loads |= await self._context.load_queries.count(remote)
+            loads |= await self._context.load_queries.query(remote)
             now = self._context.timers.now()
             considered = [*local, *remote]
-            best = occupancy.choose_counted(
+            best = occupancy.choose_least_loaded(
                 considered, loads, state, criteria, now, random_float
             )
         load = loads.get(best.name) if best is not None else None
@@ -275,16 +277,16 @@
         if isinstance(error, forwarding.NotExecutedError):
             progress.sheds += 1
             progress.may_have_run = progress.broken_attempts > 0
-            self._context.occupancy.note_shed(target.name, now)
+            self._context.occupancy.record_shed(target.name, now)
             return
         match error:
             case client.NotSent():
-                self._context.occupancy.note_unreachable(target.name, now)
+                self._context.occupancy.record_unreachable(target.name, now)
             case client.TimedOut():
                 # Avoids the same target when the caller retries.
-                self._context.occupancy.note_unreachable(target.name, now)
+                self._context.occupancy.record_unreachable(target.name, now)
             case _:
-                self._context.occupancy.note_outcome(target.name, False, now)
+                self._context.occupancy.record_outcome(target.name, False, now)
         self._context.log.write(
             log_events.ATTEMPT_FAILED,
             request=progress.call.request,
@@ -331,9 +333,9 @@
         """
         is_success = progress.status < FIRST_SERVER_ERROR_STATUS
         now = self._context.timers.now()
-        self._context.occupancy.note_outcome(target.name, is_success, now)
+        self._context.occupancy.record_outcome(target.name, is_success, now)
 
 
-def make_candidate(target: messages.Target) -> occupancy.Place:
+def make_candidate(target: messages.Target) -> occupancy.Candidate:
     """Return a target as a candidate for placement."""
-    return occupancy.Place(target.name, target.slots, target.zone)
+    return occupancy.Candidate(target.name, target.slots, target.zone)
--- a/libs/gateway/vanillayoke/gateway/forwarding.py
+++ b/libs/gateway/vanillayoke/gateway/forwarding.py
@@ -1,14 +1,13 @@
 """A single attempt to forward a request to a target."""
 
-import asyncio
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import dialect as dialect_module
+from vanillayoke.gateway import load_queries
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import scouting
 from vanillayoke.scheduling import occupancy
 from vanillayoke.transport import client
+import asyncio
+import typing
 
 # The target at this address is another one than expected.
 _MISDIRECTED = 421
@@ -42,7 +41,7 @@
         target: messages.Target,
         request: str,
         deadline: float,
-        load_queries: scouting.Scouts,
+        load_queries: load_queries.LoadQueries,
         pool: client.Pool,
         dialect: dialect_module.Dialect,
         occupancy: occupancy.Occupancy,
@@ -68,10 +67,10 @@
     async def __aenter__(self) -> typing.Self:
         self.started_at = self._timers.now()
         self._occupancy.begin(self.target.name)
-        self._load_queries.begin(
+        self._load_queries.record_start(
             self.target, self._request, self._deadline - self.started_at
         )
-        self._occupancy.note_trial(self.target.name, self.started_at)
+        self._occupancy.record_probe(self.target.name, self.started_at)
         return self
 
     async def __aexit__(
@@ -81,7 +80,7 @@
         trace: object,
     ) -> None:
         self._occupancy.end(self.target.name)
-        self._load_queries.end(
+        self._load_queries.record_end(
             self.target,
             self._request,
             self._reported_count,
@@ -96,12 +95,12 @@
         """Count a cancelled attempt as a failure if there was no response."""
         now = self._timers.now()
         if not self.has_head and now - self.started_at > NO_RESPONSE_SECONDS:
-            self._occupancy.note_outcome(self.target.name, False, now)
+            self._occupancy.record_outcome(self.target.name, False, now)
 
     async def send(
         self,
         call: messages.Call,
-        sending: messages.Sending,
+        sending: messages.ForwardOptions,
         must_run_once: bool,
     ) -> client.Head:
         """Send the request and return the head of the response.
@@ -132,7 +131,7 @@
             # The connection can be reused only after a complete response.
             await connection.read_body()
             raise NotExecutedError(head.status)
-        if not metadata.is_stamped and head.status < _FIRST_NON_SUCCESS_STATUS:
+        if not metadata.is_signed and head.status < _FIRST_NON_SUCCESS_STATUS:
             raise client.BadAnswer('the response is not signed')
         return head
 
@@ -149,16 +148,16 @@
         request = self._dialect.decode_answer(head).request
         return request is None or request == call.request
 
-    def _read_metadata(self, head: client.Head) -> messages.AnswerFacts:
+    def _read_metadata(self, head: client.Head) -> messages.ResponseMetadata:
         metadata = self._dialect.decode_answer(head)
         if metadata.load is not None:
-            report = occupancy.Report(*metadata.load)
+            report = occupancy.LoadReport(*metadata.load)
             # A stream outdates the number before the attempt ends.
             if head.status >= _FIRST_NON_SUCCESS_STATUS:
                 self._reported_count = (
                     metadata.load.running + metadata.load.waiting
                 )
-            self._occupancy.report(
+            self._occupancy.record_report(
                 self.target.name, report, self._timers.now()
             )
         return metadata
--- a/libs/gateway/vanillayoke/gateway/histories.py
+++ b/libs/gateway/vanillayoke/gateway/histories.py
@@ -1,14 +1,13 @@
 """Storage of turns, and retrieval of their history for later turns."""
 
-import collections
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
-from vanillayoke.gateway import parts
+from vanillayoke.gateway import partitions
 from vanillayoke.gateway import retries
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import transcripts
+import collections
+import typing
 
 TABLE = 'turns'
 MAX_CACHE_BYTES = 8 * 1024 * 1024
@@ -108,26 +107,26 @@
         or, unless ``waits_when_unreachable``, when the whole store is
         unreachable.
         """
-        partitions = parts.list_places(turn, CANDIDATE_PARTITION_COUNT)
-        pause = retries.FIRST_PAUSE
+        partitions = partitions.list_candidates(turn, CANDIDATE_PARTITION_COUNT)
+        pause = retries.INITIAL_BACKOFF_SECONDS
         while True:
-            for partition in sorted(partitions, key=self._store.is_suspect):
+            for partition in sorted(partitions, key=self._store.has_recent_failure):
                 remaining = deadline - self._timers.now()
                 timeout_seconds = min(
-                    remaining, retries.find_patience(self._store)
+                    remaining, retries.compute_timeout(self._store)
                 )
                 try:
                     return await operation(
-                        partition, max(retries.SHORTEST_TRY, timeout_seconds)
+                        partition, max(retries.MIN_ATTEMPT_SECONDS, timeout_seconds)
                     )
                 except store_module.StoreError as error:
                     failure = error
-            pause = min(retries.LONGEST_PAUSE, pause * 2)
+            pause = min(retries.MAX_BACKOFF_SECONDS, pause * 2)
             remaining = deadline - self._timers.now()
-            gives_up = self._store.is_closed and not waits_when_unreachable
-            if gives_up or remaining <= retries.SHORTEST_TRY:
+            gives_up = self._store.is_unreachable and not waits_when_unreachable
+            if gives_up or remaining <= retries.MIN_ATTEMPT_SECONDS:
                 raise failure
-            await self._store.wait_open(min(pause, remaining))
+            await self._store.wait_before_retry(min(pause, remaining))
 
     async def _write(
         self,
@@ -152,7 +151,7 @@
             return
         # An earlier attempt may have been applied without a response.
         if not any(row.value == value for row in outcome.rows):
-            raise store_module.StoreSilentError(
+            raise store_module.StoreOutcomeUnknownError(
                 f'turn {row_key.key} is stored with different text'
             )
 
@@ -187,7 +186,7 @@
         Reads may be stale. So if a read finds nothing, a transaction that
         expects the row to be absent confirms it or returns the row.
         """
-        end = transcripts.get_key_end(turn)
+        end = transcripts.get_range_end(turn)
         page = await self._store.read(
             TABLE, partition, timeout_seconds, turn, end
         )
@@ -218,9 +217,9 @@
 ) -> transcripts.StoredTurn | None:
     rows = {row.where.key: row.value for row in stored_rows}
     try:
-        return transcripts.read_rows(turn, rows)
-    except transcripts.BrokenTurnError as error:
-        raise store_module.StoreSilentError(str(error)) from error
+        return transcripts.decode_rows(turn, rows)
+    except transcripts.CorruptTurnError as error:
+        raise store_module.StoreOutcomeUnknownError(str(error)) from error
 
 
 def _split(
--- a/libs/gateway/vanillayoke/gateway/instance.py
+++ b/libs/gateway/vanillayoke/gateway/instance.py
@@ -1,10 +1,5 @@
 """A gateway instance: construction, startup and graceful shutdown."""
 
-import asyncio
-import functools
-import random
-import typing
-
 from vanillayoke.core import events as log_events
 from vanillayoke.core import logs
 from vanillayoke.core import timers
@@ -15,30 +10,34 @@
 from vanillayoke.gateway import dialect as dialect_module
 from vanillayoke.gateway import directory
 from vanillayoke.gateway import endpoints
-from vanillayoke.gateway import followed
+from vanillayoke.gateway import exclusivity as exclusivity_module
+from vanillayoke.gateway import health_gossip
 from vanillayoke.gateway import histories
-from vanillayoke.gateway import homes as homes_module
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import instrumentation
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import limits as limits_module
+from vanillayoke.gateway import load_queries
 from vanillayoke.gateway import members as members_module
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import metrics as metrics_module
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
-from vanillayoke.gateway import scouting
+from vanillayoke.gateway import rendezvous
+from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.gateway import store as store_module
 from vanillayoke.gateway import sweeping
-from vanillayoke.gateway import tenure as tenure_module
-from vanillayoke.gateway import verdict_news
-from vanillayoke.gateway import version_news
+from vanillayoke.gateway import table_sync
+from vanillayoke.gateway import version_gossip
 from vanillayoke.scheduling import occupancy
-from vanillayoke.scheduling import verdicts
+from vanillayoke.scheduling import shared_health
 from vanillayoke.transport import client
 from vanillayoke.transport import datagrams
 from vanillayoke.transport import server
+import asyncio
+import functools
+import random
+import typing
 
 CONNECT_TIMEOUT_SECONDS = 0.4
 MAINTENANCE_INTERVAL_SECONDS = 0.25
@@ -46,7 +45,7 @@
 RELAY_PORT_OFFSET = 1
 # Callers may use an address for up to three times its lifetime; the last
 # second is for requests sent at the end of that time.
-MIN_DRAIN_SECONDS = 3 * directory.LIFETIME + 1.0
+MIN_DRAIN_SECONDS = 3 * directory.TTL_SECONDS + 1.0
 # Reserved at the end of the grace period for ending the process.
 GRACE_MARGIN_SECONDS = 0.7
 
@@ -77,7 +76,7 @@
         self._make_components()
         self._make_cluster_components()
         self._make_servers()
-        self._table_sync = followed.Followed(
+        self._table_sync = table_sync.TableSync(
             self._store,
             dialect,
             self._catalog,
@@ -109,7 +108,7 @@
 
         Callers should then use another instance.
         """
-        return self._store.is_away and self._members.is_alone
+        return self._store.is_unavailable and self._members.is_in_minority
 
     @property
     def is_ready(self) -> bool:
@@ -118,7 +117,7 @@
             not self.is_draining
             and not self.is_isolated
             and self._catalog.configuration is not None
-            and self._catalog.has_targets
+            and self._catalog.has_read_targets
         )
 
     async def start(self) -> None:
@@ -127,7 +126,7 @@
         sender = await datagrams.DatagramSocket.bind(
             host, int(port), self._peers.receive
         )
-        self._peers.use(sender)
+        self._peers.set_sender(sender)
         self._sender = sender
         for http_server, address in self._listeners:
             host, _, port = address.rpartition(':')
@@ -138,7 +137,7 @@
             MAINTENANCE_INTERVAL_SECONDS, self._run_maintenance
         )
         self._tick_timer = self._timers.call_every(
-            homes_module.TICK, self._update_exclusivity
+            reservations_module.TICK_INTERVAL_SECONDS, self._update_exclusivity
         )
         self._version_timer = self._version_gossip.start()
 
@@ -163,7 +162,7 @@
         for http_server, _ in self._listeners:
             http_server.close()
         await self._reservations.hand_over()
-        await self._ledger.give_back(deadline)
+        await self._ledger.return_grants(deadline)
         self._members.depart()
         seconds = round(self._timers.now() - started_at, 2)
         self._log.write(log_events.DRAIN_ENDED, seconds=seconds)
@@ -196,11 +195,11 @@
             self._instrumentation.record_budget_decision,
         )
         self._histories = histories.Histories(self._store, self._timers)
-        shared_health = verdicts.Verdicts(settings.instance, random_float)
-        self._health_gossip = verdict_news.VerdictNews(
+        shared_health = shared_health.SharedHealth(settings.instance, random_float)
+        self._health_gossip = health_gossip.HealthGossip(
             settings.instance,
             shared_health,
-            lambda: self._members.list_homes(),
+            lambda: self._members.list_eligible(),
             self._timers,
             self._rng,
             self._instrumentation,
@@ -228,16 +227,16 @@
             front=settings.front,
             peer=self._peer_address,
         )
-        self._exclusivity = tenure_module.Tenure(
+        self._exclusivity = exclusivity_module.Exclusivity(
             settings.instance, self._started_at, settings.is_first_start
         )
-        membership_view = homes_ranking.Roster(
-            lambda: self._members.list_homes(),
-            lambda: self._members.list_live_homes(),
+        membership_view = rendezvous.MembershipView(
+            lambda: self._members.list_eligible(),
+            lambda: self._members.list_live_eligible(),
             lambda: self._members.list_reachable(),
             lambda: self._members.list_failed(),
         )
-        self._reservations = homes_module.Homes(
+        self._reservations = reservations_module.Reservations(
             settings.instance,
             self._ledger,
             membership_view,
@@ -246,22 +245,22 @@
             self._exclusivity,
             self._instrumentation.record_credit_grant,
         )
-        self._load_queries = scouting.Scouts(
+        self._load_queries = load_queries.LoadQueries(
             settings.instance,
-            lambda: self._members.list_homes(),
+            lambda: self._members.list_eligible(),
             self._timers,
         )
-        self._version_gossip = version_news.VersionNews(
+        self._version_gossip = version_gossip.VersionGossip(
             self._row,
             self._relay_address,
             self._dialect.configuration_table,
             self._store,
-            lambda: self._members.list_homes(),
+            lambda: self._members.list_eligible(),
             self._timers,
             self._rng,
             self._spawn,
             lambda: self._catalog.version,
-            lambda page: self._table_sync.take_configuration(page),
+            lambda page: self._table_sync.apply_configuration(page),
         )
         tolerance = settings.bounds.limits
         self._limit_accounts = limit_accounts.LimitAccounts(
@@ -269,10 +268,10 @@
             self._store,
             self._timers,
             self._spawn,
-            lambda: self._members.find_lost_share(tolerance.window),
+            lambda: self._members.compute_lost_ratio(tolerance.window),
             lambda: (
                 self._reservations.is_leaving
-                and bool(membership_view.list_homes())
+                and bool(membership_view.list_eligible())
             ),
         )
         self._limits = limits_module.Limits(
@@ -284,23 +283,25 @@
             self._timers,
             self._spawn,
             lambda: self._catalog.version,
-            lambda: self._members.is_alone or self._members.is_unheard,
+            lambda: (
+                self._members.is_in_minority or self._members.has_lost_contact
+            ),
             self._rng.random,
         )
         self._peers = peers_module.Peers(
             self._timers,
             self._answer_peer,
             lambda data, sender: self._members.receive(data, sender),
-            self._health_gossip.hear,
-            self._load_queries.take,
-            self._version_gossip.hear,
+            self._health_gossip.receive,
+            self._load_queries.handle,
+            self._version_gossip.receive,
             incarnation,
         )
-        self._version_gossip.use(self._peers)
-        self._limits.use(self._peers)
-        self._reservations.use(self._peers)
-        self._load_queries.use(self._peers)
-        self._health_gossip.use(self._peers)
+        self._version_gossip.set_peers(self._peers)
+        self._limits.set_peers(self._peers)
+        self._reservations.set_peers(self._peers)
+        self._load_queries.set_peers(self._peers)
+        self._health_gossip.set_peers(self._peers)
         self._members = members_module.Members(
             self._row,
             self._timers,
@@ -355,13 +356,13 @@
 
     # Other instances
 
-    def _answer_peer(self, question: peer_messages.Question) -> typing.Any:
+    def _answer_peer(self, question: peer_messages.Request) -> typing.Any:
         match question:
-            case peer_messages.Count():
-                return self._load_queries.answer(question)
-            case peer_messages.Usage():
-                return self._limit_accounts.answer(question)
-        return self._reservations.answer(question)
+            case peer_messages.LoadQuery():
+                return self._load_queries.handle_request(question)
+            case peer_messages.UsageReport():
+                return self._limit_accounts.handle_request(question)
+        return self._reservations.handle_request(question)
 
     def _list_relays(self) -> list[str]:
         own_name = self.settings.instance
@@ -375,18 +376,18 @@
 
     async def _join(self) -> None:
         """Join the other instances once the store's tables are loaded."""
-        await self._table_sync.wait()
+        await self._table_sync.wait_until_loaded()
         self._members.start()
-        self._exclusivity.note_joined(self._timers.now())
+        self._exclusivity.record_joined(self._timers.now())
         self._apply_caller_limits()
         ms = round((self._timers.now() - self._started_at) * 1000)
         self._log.write(log_events.GATEWAY_READY, ms=ms)
-        await self._table_sync.publish(self._row)
+        await self._table_sync.publish_instance(self._row)
         await sweeping.Sweeper(
             self.settings.instance,
             self._store,
             self._catalog,
-            self._members.list_homes,
+            self._members.list_eligible,
             self._timers,
         ).run()
 
@@ -397,10 +398,12 @@
         programs in the meantime.
         """
         now = self._timers.now()
-        self._exclusivity.tick(now, self._timers.wall(), homes_module.TICK)
-        self._exclusivity.note_incarnation(self._members.incarnation, now)
-        eligible = self._members.list_homes()
-        self._exclusivity.note_members(
+        self._exclusivity.tick(
+            now, self._timers.wall(), reservations_module.TICK_INTERVAL_SECONDS
+        )
+        self._exclusivity.update_incarnation(self._members.incarnation, now)
+        eligible = self._members.list_eligible()
+        self._exclusivity.update_members(
             (member.instance for member in eligible), now
         )
 
@@ -414,8 +417,8 @@
         self._reservations.prune()
         self._limits.prune()
         self._limit_accounts.prune()
-        self._occupancy.forget(self._catalog.names)
-        self._load_queries.forget(self._catalog.names)
+        self._occupancy.retain(self._catalog.target_names)
+        self._load_queries.retain(self._catalog.target_names)
 
     def _handle_target_restart(self, target: messages.Target) -> None:
         """Discard connections to a target's previous process, and its state.
@@ -423,8 +426,8 @@
         Its health, load and latency do not apply to the new process.
         """
         self._pool.drop(target.address)
-        self._occupancy.restart(target.name)
-        self._load_queries.restart(target.name)
+        self._occupancy.handle_restart(target.name)
+        self._load_queries.handle_restart(target.name)
         self._log.write(
             log_events.SERVER_RESTARTED,
             target=target.name,
@@ -465,16 +468,21 @@
         self, call: str, outcome: str, seconds: float
     ) -> None:
         self._instrumentation.record_store_call(call, outcome, seconds)
-        is_slow = call != 'follow' and seconds > homes_module.CREDIT_PATIENCE
+        is_slow = (
+            call != 'follow'
+            and seconds > reservations_module.CREDIT_TIMEOUT_SECONDS
+        )
         if is_slow or outcome not in ('answered', 'relayed'):
-            self._exclusivity.note_trouble(self._timers.now())
+            self._exclusivity.record_store_failure(self._timers.now())
 
     def _record_store_state(self, is_available: bool) -> None:
         if is_available:
             self._instrumentation.record_store_recovered()
             self._reservations.record_credit()
         else:
-            self._instrumentation.record_store_lost(self._store.usual_time)
+            self._instrumentation.record_store_lost(
+                self._store.average_latency
+            )
 
 
 def get_relay_address(address: str) -> str:
--- a/libs/gateway/vanillayoke/gateway/instrumentation.py
+++ b/libs/gateway/vanillayoke/gateway/instrumentation.py
@@ -3,9 +3,9 @@
 from vanillayoke.cluster import messages as cluster_messages
 from vanillayoke.core import events as log_events
 from vanillayoke.core import logs
-from vanillayoke.gateway import accounts
+from vanillayoke.gateway import budget_accounts
 from vanillayoke.gateway import metrics as metrics_module
-from vanillayoke.scheduling import verdicts
+from vanillayoke.scheduling import shared_health
 
 _INITIAL_STATES = frozenset(
     (cluster_messages.State.ALIVE, cluster_messages.State.SUSPECTED)
@@ -52,17 +52,19 @@
             tokens=tokens,
         )
 
-    def record_budget_decision(self, decision: accounts.Decision) -> None:
+    def record_budget_decision(
+        self, decision: budget_accounts.Decision
+    ) -> None:
         """Record a coordinator's decision on a program's budget."""
         match decision:
-            case accounts.TakenOver(program, granted, budget):
+            case budget_accounts.TakenOver(program, granted, budget):
                 self._log.write(
                     log_events.BUDGET_TAKEN_OVER,
                     program=program,
                     granted=granted,
                     budget=budget,
                 )
-            case accounts.Refused():
+            case budget_accounts.Refused():
                 self._log.write(
                     log_events.BUDGET_REFUSED,
                     program=decision.program,
@@ -104,7 +106,7 @@
             incarnation=member.incarnation,
         )
 
-    def record_health_state(self, verdict: verdicts.Verdict) -> None:
+    def record_health_state(self, verdict: shared_health.HealthState) -> None:
         """Record a change in the shared health state of a target."""
         if verdict.is_over:
             self._log.write(log_events.TARGET_WELL, target=verdict.target)
--- a/libs/gateway/vanillayoke/gateway/store_waiting.py
+++ b/libs/gateway/vanillayoke/gateway/store_waiting.py
@@ -1,11 +1,10 @@
 """Waiting of turns for the store during an outage."""
 
-import typing
-
 from vanillayoke.gateway import context as context_module
 from vanillayoke.gateway import dispatch
 from vanillayoke.gateway import refusals
 from vanillayoke.scheduling import outages
+import typing
 
 POLL_SECONDS = 0.1
 # Callers abort a stream when they receive nothing for the longest of: the
@@ -53,9 +52,9 @@
             raise refusals.RefusalError(
                 refusals.Reason.STORE_UNAVAILABLE,
                 str(error),
-                outages.SHORTEST_PAUSE,
+                outages.MIN_PAUSE_SECONDS,
             ) from error
-        await self._context.store.wait_open(min(remaining, POLL_SECONDS))
+        await self._context.store.wait_before_retry(min(remaining, POLL_SECONDS))
 
     def find_latest_start(self, progress: dispatch.Progress) -> float:
         """Return the latest time at which a turn can start and finish."""
@@ -66,7 +65,7 @@
     def find_save_deadline(self, progress: dispatch.Progress) -> float:
         """Return the deadline for storing a turn that has run."""
         now = self._context.timers.now()
-        turn = outages.Finished(progress.deadline - now)
+        turn = outages.CompletedTurn(progress.deadline - now)
         match outages.decide(self._find_outage(now), turn):
             case outages.Wait(timeout):
                 return now + timeout
@@ -82,7 +81,7 @@
         """
         now = self._context.timers.now()
         outage = self._find_outage(now)
-        turn = outages.Waiting(
+        turn = outages.PendingTurn(
             progress.deadline - now,
             self._find_response_deadline(progress) - now,
             self._estimate_service_time(progress),
@@ -92,8 +91,9 @@
                 return timeout
             case outages.Refuse(retry_after):
                 detail = (
-                    f'{error}; unavailable for {outage.age:.2f} s, time left'
-                    f' {turn.left:.2f} s, needed {turn.needed:.2f} s'
+                    f'{error}; unavailable for {outage.age:.2f} s,'
+                    f' time left'
+                    f' {turn.time_left:.2f} s, needed {turn.service_time:.2f} s'
                 )
                 raise refusals.RefusalError(
                     refusals.Reason.STORE_UNAVAILABLE, detail, retry_after
@@ -102,7 +102,8 @@
     def _find_outage(self, now: float) -> outages.Outage:
         availability = self._context.store.availability
         return outages.Outage(
-            availability.get_age(now), tuple(availability.outages)
+            availability.get_outage_duration(now),
+            tuple(availability.outage_durations),
         )
 
     def _find_response_deadline(self, progress: dispatch.Progress) -> float:
@@ -110,8 +111,8 @@
         route = progress.route
         response_timeout = max(
             MIN_RESPONSE_TIMEOUT_SECONDS,
-            OBJECTIVE_FACTOR * route.objective,
-            GAP_FACTOR * route.longest_gap,
+            OBJECTIVE_FACTOR * route.latency_objective,
+            GAP_FACTOR * route.max_gap,
         )
         return min(
             progress.deadline,
--- a/libs/gateway/vanillayoke/gateway/turns.py
+++ b/libs/gateway/vanillayoke/gateway/turns.py
@@ -1,7 +1,5 @@
 """Turns of programs: streamed requests with a budget and stored history."""
 
-import msgspec
-
 from vanillayoke.gateway import context as context_module
 from vanillayoke.gateway import dispatch
 from vanillayoke.gateway import forwarding
@@ -13,10 +11,11 @@
 from vanillayoke.gateway import store as store_module
 from vanillayoke.gateway import store_waiting
 from vanillayoke.gateway import unary
-from vanillayoke.scheduling import outlook
+from vanillayoke.scheduling import program_slack
 from vanillayoke.transport import client
 from vanillayoke.transport import headers as headers_module
 from vanillayoke.transport import server
+import msgspec
 
 _DROPPED = frozenset((b'content-length',))
 _FIRST_NON_SUCCESS_STATUS = 300
@@ -62,9 +61,9 @@
         self._context = context
         self._dispatcher = dispatch.Dispatcher(context)
         self._typical_times: dict[
-            str, tuple[outlook.Usual, outlook.Usual]
+            str, tuple[program_slack.TypicalTime, program_slack.TypicalTime]
         ] = {}
-        self._average_intervals: dict[str, outlook.Mean] = {}
+        self._average_intervals: dict[str, program_slack.AverageTime] = {}
         self._store_waiting = store_waiting.StoreWaiting(
             context, self._estimate_service_time
         )
@@ -130,7 +129,7 @@
             slowdown = self._dispatcher.get_slowdown(progress.service)
             slowdown.learn(progress.target_load, interval)
         average = self._average_intervals.setdefault(
-            progress.service, outlook.Mean(interval)
+            progress.service, program_slack.AverageTime(interval)
         )
         latency_ratio = interval / average.value
         average.learn(interval)
@@ -138,13 +137,14 @@
 
     def _get_typical_times(
         self, service: str
-    ) -> tuple[outlook.Usual, outlook.Usual]:
+    ) -> tuple[program_slack.TypicalTime, program_slack.TypicalTime]:
         """Return the typical time to the first event and between events."""
         times = self._typical_times.get(service)
         if times is None:
             times = (
-                outlook.Usual(INITIAL_FIRST_EVENT_SECONDS),
-                outlook.Usual(INITIAL_EVENT_INTERVAL_SECONDS),
+                program_slack.TypicalTime(INITIAL_FIRST_EVENT_SECONDS),
+                program_slack.TypicalTime(INITIAL_EVENT_INTERVAL_SECONDS),
+            ),
             )
             self._typical_times[service] = times
         return times
@@ -161,13 +161,13 @@
             progress.qualify(program.name),
             program.budget,
             progress.call.request,
-            progress.call.most_tokens,
+            progress.call.max_tokens,
             program.session,
             progress.route.name,
             program.time_left,
             not progress.route.keeps_history,
         )
-        reservation = self._context.reservations.reserve_here(request)
+        reservation = self._context.reservations.reserve_locally(request)
         attempt_count = 0
         while reservation is None:
             self._refuse_if_isolated()
@@ -181,7 +181,7 @@
                 await self._store_waiting.wait(progress, error)
         if not reservation.is_granted:
             raise refusals.RefusalError(refusals.Reason.BUDGET_SPENT)
-        progress.coordinator = reservation.keeper
+        progress.coordinator = reservation.coordinator
         progress.slack = reservation.slack
         progress.affinity_target = reservation.target
         progress.slack_updated_at = self._context.timers.now()
@@ -204,9 +204,9 @@
         """Return the typical time to serve a turn, in seconds."""
         first, interval = self._get_typical_times(progress.service)
         event_count = DEFAULT_EVENT_COUNT
-        if progress.call.likely_tokens:
+        if progress.call.expected_tokens:
             event_tokens = self._get_event_tokens(progress.service)
-            event_count = progress.call.likely_tokens / event_tokens
+            event_count = progress.call.expected_tokens / event_tokens
         return first.value + interval.value * event_count
 
     def _refuse_if_isolated(self) -> None:
@@ -237,7 +237,7 @@
         while True:
             # A turn that cannot be stored must not run.
             self._refuse_if_isolated()
-            if self._context.store.is_closed:
+            if self._context.store.is_unreachable:
                 await self._store_waiting.wait(progress, _STORE_UNAVAILABLE)
                 continue
             if not progress.call.previous_turn:
--- a/libs/gateway/vanillayoke/gateway/unary.py
+++ b/libs/gateway/vanillayoke/gateway/unary.py
@@ -1,17 +1,16 @@
 """Requests with a single, non-streamed response."""
 
-import asyncio
-import typing
-
 from vanillayoke.gateway import context as context_module
 from vanillayoke.gateway import dispatch
 from vanillayoke.gateway import forwarding
 from vanillayoke.gateway import messages
-from vanillayoke.scheduling import outlook
-from vanillayoke.scheduling import tallies
+from vanillayoke.scheduling import load_counts
+from vanillayoke.scheduling import program_slack
 from vanillayoke.transport import client
 from vanillayoke.transport import headers as headers_module
 from vanillayoke.transport import server
+import asyncio
+import typing
 
 # Set anew for the caller.
 _DROPPED = frozenset((b'content-length',))
@@ -36,8 +35,8 @@
     def __init__(self, context: context_module.Context) -> None:
         self._context = context
         self._dispatcher = dispatch.Dispatcher(context)
-        self._typical: dict[str, outlook.Usual] = {}
-        self._averages: dict[str, outlook.Mean] = {}
+        self._typical: dict[str, program_slack.TypicalTime] = {}
+        self._averages: dict[str, program_slack.AverageTime] = {}
 
     async def serve(
         self, progress: dispatch.Progress, responder: server.Responder
@@ -74,14 +73,14 @@
                 async with asyncio.timeout(self._compute_timeout(progress)):
                     return await self._exchange(progress, attempt, sending)
             except TimeoutError as error:
-                attempt.latency_ratio = tallies.MOST_SLOWNESS
+                attempt.latency_ratio = load_counts.MAX_LATENCY_RATIO
                 raise client.TimedOut('target response timed out') from error
 
     async def _exchange(
         self,
         progress: dispatch.Progress,
         attempt: forwarding.Attempt,
-        sending: messages.Sending,
+        sending: messages.ForwardOptions,
     ) -> Response:
         head = await attempt.send(
             progress.call, sending, not progress.route.is_idempotent
@@ -89,7 +88,7 @@
         response = Response(head, await attempt.read_body())
         latency = self._context.timers.now() - attempt.started_at
         average = self._averages.setdefault(
-            progress.route.name, outlook.Mean(latency)
+            progress.route.name, program_slack.AverageTime(latency)
         )
         attempt.latency_ratio = latency / average.value
         average.learn(latency)
@@ -111,7 +110,7 @@
         latency = self._context.timers.now() - progress.started_at
         typical = self._typical.get(name)
         if typical is None:
-            typical = self._typical[name] = outlook.Usual(latency)
+            typical = self._typical[name] = program_slack.TypicalTime(latency)
         typical.learn(latency)
 
 
--- a/tests/gateway/site.py
+++ b/tests/gateway/site.py
@@ -1,10 +1,5 @@
 """A small deployment for tests: a fake store, targets and instances."""
 
-import asyncio
-import contextvars
-import random
-import typing
-
 from vanillayoke.adapter import fields
 from vanillayoke.adapter import wire
 from vanillayoke.core import logs
@@ -17,6 +12,10 @@
 from vanillayoke.standins import targets as targets_module
 from vanillayoke.transport import client
 from vanillayoke.transport import headers as headers_module
+import asyncio
+import contextvars
+import random
+import typing
 
 STORE = '10.9.0.1:8142'
 FRONT_PORT = 8149
@@ -52,8 +51,8 @@
         seed: int = 1,
     ) -> None:
         self.timers = timer_service
-        self.store = store_module.StoreStandin()
-        self.targets: dict[str, targets_module.TargetStandin] = {}
+        self.store = store_module.FakeStore()
+        self.targets: dict[str, targets_module.FakeTarget] = {}
         self.instances: dict[str, instance_module.Instance] = {}
         self.loggers: dict[str, logs.Logger] = {}
         self._set_host = set_host
@@ -82,10 +81,10 @@
 
     async def add_target(
         self, name: str, host: str | None = None
-    ) -> targets_module.TargetStandin:
+    ) -> targets_module.FakeTarget:
         """Start a target and register it."""
-        target = targets_module.TargetStandin(name)
-        target.events = 4 if name.startswith('m') else 0
+        target = targets_module.FakeTarget(name)
+        target.event_count = 4 if name.startswith('m') else 0
         self.targets[name] = target
         host = host or f'10.8.0.{len(self.targets)}'
         await target.listen(host, TARGET_PORT)
@@ -153,7 +152,7 @@
         if key is not None:
             headers.append((b'Authorization', f'Bearer {key}'.encode()))
         headers += extra_headers
-        headers += calls.make_fields(**header_fields)
+        headers += calls.make_header_fields(**header_fields)
         used = connection or await client.Pool(1.0).open(address)
         try:
             target = f'/{route}/x'.encode()
@@ -208,12 +207,12 @@
             ),
         )
 
-    def list_runs(self, request: str) -> list[targets_module.Run]:
+    def list_runs(self, request: str) -> list[targets_module.Execution]:
         """Return the executions of a request at all targets."""
         return [
             run
             for target in self.targets.values()
-            for run in target.runs
+            for run in target.executions
             if run.request == request
         ]
 
--- a/tests/gateway/site_fixtures.py
+++ b/tests/gateway/site_fixtures.py
@@ -1,14 +1,12 @@
 """Fixtures and helpers for tests with a site on a simulated network."""
 
-import asyncio
-
 from tests.gateway import site as site_module
 from vanillayoke.core import timers
-from vanillayoke.gateway import homes_ranking
+from vanillayoke.gateway import rendezvous
 from vanillayoke.testing import fixtures
 from vanillayoke.testing import networks
 from vanillayoke.transport import client
-
+import asyncio
 
 @fixtures.fixture
 def clock(loop):
@@ -27,10 +25,10 @@
 
 def rank_coordinators(program, names):
     """Return instances in their order of preference as coordinator."""
-    remaining = [homes_ranking.HomeMember(name, '') for name in names]
+    remaining = [rendezvous.Peer(name, '') for name in names]
     ranked = []
     while remaining:
-        best = homes_ranking.find_home(program, remaining)
+        best = rendezvous.find_coordinator(program, remaining)
         ranked.append(best.instance)
         remaining.remove(best)
     return ranked
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -4,10 +4,10 @@
 import collections
 
 from tests.gateway import site_fixtures
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import limits as limits_module
 from vanillayoke.gateway import peer_messages
+from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import quotas
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
@@ -32,7 +32,7 @@
         configure(site, 2, rate, burst)
         await asyncio.sleep(0.2)
         for target in site.targets.values():
-            target.work = 0.001
+            target.service_time = 0.001
         return site
 
     return start
@@ -45,9 +45,9 @@
 
 
 def rank_homes(organisation='red', names=INSTANCES):
-    members = [homes_ranking.HomeMember(name, '') for name in names]
-    key = limits_module.PREFIX + organisation
-    best = homes_ranking.list_best(key, members, len(members))
+    members = [rendezvous.Peer(name, '') for name in names]
+    key = limits_module.KEY_PREFIX + organisation
+    best = rendezvous.list_highest(key, members, len(members))
     return [one.instance for one in best]
 
 
@@ -78,9 +78,9 @@
 def find_most(site, window=WINDOW):
     """Return the most runs in any window, from what the targets saw."""
     times = sorted(
-        run.at
+        run.started_at
         for target in site.targets.values()
-        for run in target.runs
+        for run in target.executions
         if run.headers.get(b'x-vanillayoke-tenant') == b'red'
     )
     return max(
@@ -204,7 +204,7 @@
 
 async def test_limit_holds_while_the_store_is_away(case, shop):
     site = await shop()
-    site.store.mode = store_module.Mode.MUTE
+    site.store.mode = store_module.Mode.UNRESPONSIVE
     await asyncio.sleep(3.0)
     found = await send_all(site, 100, 0.1)
     case.assertLessEqual(find_most(site), LIMIT * 1.1)
@@ -245,8 +245,12 @@
 def _ask(front, count=1):
     """Ask a front, as another instance does; return what it answers."""
     limit = quotas.Limit(10.0, 0.0, 3.0, WINDOW)
-    question = peer_messages.Usage('red', 'x', limit, 2, asked=('p', ''))
-    return [front._limit_accounts.answer(question) for _ in range(count)]
+    question = peer_messages.UsageReport(
+        'red', 'x', limit, 2, pending=('p', '')
+    )
+    return [
+        front._limit_accounts.handle_request(question) for _ in range(count)
+    ]
 
 
 async def _await_all(answers):
@@ -259,21 +263,21 @@
     home = site.instances[rank_homes()[0]]
     stop = asyncio.ensure_future(home.stop())
     await asyncio.sleep(0.1)
-    case.assertEqual([peer_messages.Unable(False)], _ask(home))
+    case.assertEqual([peer_messages.Unavailable(False)], _ask(home))
     await stop
 
 
 async def test_home_that_knows_nothing_waits_to_be_told(case, shop):
     """A new home can't read the row, and nobody has told it yet."""
     site = await shop()
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     home = site.instances[rank_homes()[0]]
     answers = await _await_all(_ask(home, 8))
-    admitted = sum(one.refused is None for one in answers)
+    admitted = sum(one.refusal_reason is None for one in answers)
     case.assertLessEqual(admitted, 3)
-    await asyncio.sleep(limit_accounts.SETTLING + 0.1)
+    await asyncio.sleep(limit_accounts.SETTLING_SECONDS + 0.1)
     [answer] = await _await_all(_ask(home))
-    case.assertIsNone(answer.refused)
+    case.assertIsNone(answer.refusal_reason)
 
 
 async def test_account_that_was_not_written_is_written_again(case, shop):
@@ -281,7 +285,7 @@
     site = await shop()
     home = site.instances[rank_homes()[0]]
     await _await_all(_ask(home))
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await _await_all(_ask(home))
     await asyncio.sleep(0.5)
     site.store.mode = store_module.Mode.SERVE
@@ -307,7 +311,7 @@
     configure(site, 3)
     await asyncio.sleep(WINDOW)
     for target in site.targets.values():
-        target.runs.clear()
+        target.executions.clear()
     await send_all(site, 50, 0.1)
     case.assertLessEqual(find_most(site), LIMIT * 1.1)
 
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -1,13 +1,12 @@
 """Tests of organisations: authentication by keys, and isolation."""
 
-import asyncio
-
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import messages
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
 from vanillayoke.transport import client
+import asyncio
 
 RED = calls.make_organisation('red', 'red-1', 'red-2')
 BLUE = calls.make_organisation('blue', 'blue-1')
@@ -31,7 +30,9 @@
     for key in ('nobody', None):
         answer = await site.call('i1', 'look', key=key)
         case.assertEqual(401, answer.status)
-    case.assertFalse(any(target.runs for target in site.targets.values()))
+    case.assertFalse(
+        any(target.executions for target in site.targets.values())
+    )
 
 
 async def test_targets_receive_organisation_but_not_key(case, shop):
@@ -156,8 +157,8 @@
     bounds = instance.settings.bounds._replace(is_revocation_strict=True)
     instance.settings = instance.settings._replace(bounds=bounds)
     case.assertEqual(200, (await site.call('i1', 'look', key='red-1')).status)
-    site.store.mode = store_module.Mode.MUTE
-    await asyncio.sleep(messages.Bounds(1, 1, 1, 1).revocation + 0.5)
+    site.store.mode = store_module.Mode.UNRESPONSIVE
+    await asyncio.sleep(messages.Bounds(1, 1, 1, 1).revocation_timeout + 0.5)
     case.assertEqual(503, (await site.call('i1', 'look', key='red-1')).status)
     case.assertEqual(200, (await site.call('i2', 'look', key='red-1')).status)
 
--- a/tests/gateway/test_outages.py
+++ b/tests/gateway/test_outages.py
@@ -1,15 +1,13 @@
 """Tests with a store that is unavailable or slow, entirely or in part."""
 
-import asyncio
-
 from tests.gateway import site as site_module
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import histories
-from vanillayoke.gateway import parts
+from vanillayoke.gateway import partitions
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
-
+import asyncio
 
 async def test_turn_waits_for_store_to_recover(case, site):
     """A program that starts in a short outage waits until it ends.
@@ -17,7 +15,7 @@
     It must not fail after a few refusals.
     """
     await site.start()
-    site.store.mode = store_module.Mode.RESET
+    site.store.mode = store_module.Mode.RESET_CONNECTION
     await asyncio.sleep(1.0)
     task = asyncio.ensure_future(
         site.turn('i1', 'a', route='plan', program='new')
@@ -31,7 +29,7 @@
 async def test_turn_is_refused_at_once_in_long_outage(case, site):
     """In a long outage, callers must not wait until their deadline."""
     await site.start()
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(40.0)
     for number in range(3):
         started_at = site.timers.now()
@@ -49,7 +47,7 @@
     """
     await site.start()
     await site.turn('i1', 'a')
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(4.0)
     tasks = [
         asyncio.ensure_future(
@@ -71,7 +69,7 @@
     retry, because the retry waits for the store again.
     """
     await site.start()
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(4.0)
     started_at = site.timers.now()
     answer = await site.turn('i1', 'a', program='new')
@@ -88,10 +86,10 @@
     """
     await site.start()
     for target in site.targets.values():
-        target.gap = 0.1
+        target.event_interval = 0.1
     task = asyncio.ensure_future(site.turn('i1', 'a'))
     await asyncio.sleep(0.2)
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(2.5)
     site.store.mode = store_module.Mode.SERVE
     answer = await task
@@ -111,13 +109,19 @@
     await site.start(3)
     for number in range(6):
         await site.turn('i1', f'z{number}', program=f'q{number}')
-    names = [parts.name_part(number) for number in range(parts.PART_COUNT)]
-    site.store.down = set(names[::3])
+    names = [
+        partitions.name_partition(number)
+        for number in range(partitions.PARTITION_COUNT)
+    ]
+    site.store.unavailable_partitions = set(names[::3])
     for number in range(60):
         turns = (f'a{number}', f'b{number}')
         if any(_is_unavailable(site, turn) for turn in turns):
             continue
-        if parts.find_part(f'p{number}') in site.store.down:
+        if (
+            partitions.find_partition(f'p{number}')
+            in site.store.unavailable_partitions
+        ):
             # The budget cannot be granted; the next test covers this.
             continue
         first = await site.turn(
@@ -147,7 +151,7 @@
     await site.start(3)
     for name in site.instances:
         await site.turn(name, f'before-{name}', program='old')
-    site.store.down = {parts.find_part('new')}
+    site.store.unavailable_partitions = {partitions.find_partition('new')}
     answer = await site.turn('i1', 'a', program='new')
     case.assertEqual(503, answer.status)
     case.assertEqual([], site.list_runs('a'))
@@ -157,8 +161,8 @@
 
 def _is_unavailable(site, turn):
     """Return whether all candidate partitions of a turn are unavailable."""
-    return site.store.down.issuperset(
-        parts.list_places(turn, histories.CANDIDATE_PARTITION_COUNT)
+    return site.store.unavailable_partitions.issuperset(
+        partitions.list_candidates(turn, histories.CANDIDATE_PARTITION_COUNT)
     )
 
 
@@ -168,13 +172,15 @@
     A 404 would tell the program that its history is lost.
     """
     await site.start()
-    places = parts.list_places('a', histories.CANDIDATE_PARTITION_COUNT)
-    site.store.down = {places[0]}
+    places = partitions.list_candidates(
+        'a', histories.CANDIDATE_PARTITION_COUNT
+    )
+    site.store.unavailable_partitions = {places[0]}
     await site.turn('i1', 'a', b'one')
-    site.store.down = {places[1]}
+    site.store.unavailable_partitions = {places[1]}
     answer = await site.turn('i2', 'b', previous='a')
     case.assertEqual(503, answer.status)
-    site.store.down = set()
+    site.store.unavailable_partitions = set()
     answer = await site.turn('i2', 'c', previous='a')
     case.assertEqual(200, answer.status)
     answer = await site.turn('i2', 'd', previous='never')
@@ -188,7 +194,7 @@
     wait for them.
     """
     await site.start()
-    site.store.mode = store_module.Mode.MUTE
+    site.store.mode = store_module.Mode.UNRESPONSIVE
     await asyncio.sleep(5.0)
     site.store.mode = store_module.Mode.SERVE
     await asyncio.sleep(0.5)
@@ -199,7 +205,7 @@
 
 async def test_unavailable_store_gets_few_calls(case, site):
     await site.start()
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(1.0)
     site.store.calls.clear()
     await asyncio.sleep(4.0)
@@ -268,7 +274,7 @@
 async def test_slow_store_is_not_called_repeatedly(case, site):
     """A slow store must not be loaded further by early retries."""
     await site.start()
-    site.store.delay = 0.5
+    site.store.response_delay = 0.5
     site.store.calls.clear()
     answer = await site.turn('i1', 'a', program='new')
     case.assertEqual(200, answer.status)
--- a/tests/gateway/test_turns.py
+++ b/tests/gateway/test_turns.py
@@ -1,18 +1,15 @@
 """Tests of turns: streaming, history and budgets, also under failures."""
 
-import asyncio
-
-import msgspec
-
 from tests.gateway import site_fixtures
-from vanillayoke.gateway import homes_ranking
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers
+from vanillayoke.gateway import rendezvous
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.standins import targets
 from vanillayoke.testing import fixtures
-
+import asyncio
+import msgspec
 
 def _make_text(request, events=4):
     return b''.join(b'%s:%d\n' % (request, n) for n in range(1, events + 1))
@@ -84,7 +81,7 @@
 async def test_turn_is_not_unknown_while_store_is_unavailable(case, site):
     await site.start()
     await site.turn('i1', 'a')
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     answer = await site.turn('i2', 'b', previous='a')
     case.assertEqual(503, answer.status)
     case.assertIn(b'retry-after', answer.headers)
@@ -98,7 +95,7 @@
     """
     await site.start()
     await site.turn('i1', 'warm', b'old')
-    site.store.delay = 0.2
+    site.store.response_delay = 0.2
     task = asyncio.ensure_future(site.turn('i1', 'a', previous='warm'))
     while 'a' not in site.store.list_table('turns'):
         case.assertFalse(task.done())
@@ -158,8 +155,8 @@
     than its budget.
     """
     await site.start(3)
-    homes = site.instances['i1']._members.list_homes()
-    home = homes_ranking.find_home('p1', homes).instance
+    homes = site.instances['i1']._members.list_eligible()
+    home = rendezvous.find_coordinator('p1', homes).instance
     other = next(name for name in ('i1', 'i2', 'i3') if name != home)
     for number in range(3):
         await site.turn(other, f'a{number}', route='plan', budget=400)
@@ -211,10 +208,8 @@
         'i1', 'a0', route='plan', budget=160, max_tokens=100, program='small'
     )
     case.assertEqual(200, answer.status)
-    members = [
-        homes_ranking.HomeMember(name, '') for name in sorted(site.instances)
-    ]
-    home = homes_ranking.find_home('small', members).instance
+    members = [rendezvous.Peer(name, '') for name in sorted(site.instances)]
+    home = rendezvous.find_coordinator('small', members).instance
     site_fixtures.kill(site, network, home)
     await asyncio.sleep(3.0)
     other = next(iter(site.instances))
@@ -244,7 +239,7 @@
         await site.turn(
             'i1', f'a{number}', route='plan', program=f'p{number}', budget=800
         )
-    site.store.mode = store_module.Mode.RESET
+    site.store.mode = store_module.Mode.RESET_CONNECTION
     await asyncio.sleep(0.5)
     await site.instances['i2'].stop()
     await site.instances['i3'].stop()
@@ -282,7 +277,7 @@
     await site.start(1)
     instance = site.instances['i1']
     transfer = peer_messages.Transfer('p1', 100)
-    data = peers.QUESTION + msgspec.msgpack.encode([7, transfer])
+    data = peers.REQUEST + msgspec.msgpack.encode([7, transfer])
     instance._peers.receive(data, '10.1.0.9:7380')
     instance._peers.receive(data, '10.1.0.9:7380')
     case.assertEqual(100, instance._ledger.withdraw('p1'))
@@ -297,7 +292,7 @@
     """
     await site.start()
     await site.turn('i1', 'a', route='plan')
-    site.store.mode = store_module.Mode.RESET
+    site.store.mode = store_module.Mode.RESET_CONNECTION
     await asyncio.sleep(1.0)
     for number in range(3):
         answer = await site.turn('i2', f'b{number}', route='plan')
@@ -312,9 +307,9 @@
     """
     await site.start()
     for instance in site.instances.values():
-        instance._exclusivity.note_program()
-        instance._exclusivity.note_break(site.timers.now())
-    site.store.mode = store_module.Mode.BUSY
+        instance._exclusivity.record_program()
+        instance._exclusivity.record_interruption(site.timers.now())
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(1.0)
     started_at = site.timers.now()
     answer = await site.turn('i1', 'a', route='plan', program='new')
@@ -346,7 +341,7 @@
 async def test_stream_cut_within_event_is_incomplete(case, site):
     await site.start()
     for target in site.targets.values():
-        target.faults.append(targets.Fault.CUT_ANSWER)
+        target.faults.append(targets.Fault.TRUNCATE_ANSWER)
     answer = await site_fixtures.call_or_error(
         site, 'i1', 'chat', request='a', program_id='p1', session_id='s'
     )
@@ -363,7 +358,7 @@
     """
     await site.start()
     site.store.put('servers', 'm2', None)
-    site.targets['m1'].faults.append(targets.Fault.CUT_ANSWER)
+    site.targets['m1'].faults.append(targets.Fault.TRUNCATE_ANSWER)
     await asyncio.sleep(0.1)
     answer = await site.turn('i1', 'a', route='plan')
     expected = b''.join(
@@ -385,7 +380,7 @@
     await site.start()
     site.store.put('servers', 'm2', None)
     site.targets['m1'].faults.append(targets.Fault.LOSE_ANSWER)
-    site.targets['m1'].work = 0.5
+    site.targets['m1'].service_time = 0.5
     await asyncio.sleep(0.1)
     task = asyncio.ensure_future(site.turn('i1', 'a', route='plan'))
     await asyncio.sleep(0.2)
@@ -401,17 +396,17 @@
     site.store.put('op', 'config', calls.make_configuration(2, [route]))
     await asyncio.sleep(0.1)
     for name in ('m1', 'm2'):
-        site.targets[name].faults.append(targets.Fault.CUT_ANSWER)
+        site.targets[name].faults.append(targets.Fault.TRUNCATE_ANSWER)
     answer = await site.turn('i1', 'a', route='plan')
     case.assertEqual(200, answer.status)
-    ran_at = [name for name in ('m1', 'm2') if site.targets[name].runs]
+    ran_at = [name for name in ('m1', 'm2') if site.targets[name].executions]
     case.assertEqual(1, len(ran_at))
 
 
 async def test_client_disconnect_cancels_work_at_target(case, site):
     await site.start()
     for target in site.targets.values():
-        target.gap = 1.0
+        target.event_interval = 1.0
     task = asyncio.ensure_future(site.turn('i1', 'a'))
     await asyncio.sleep(0.5)
     task.cancel()
--- a/tests/gateway/test_unary.py
+++ b/tests/gateway/test_unary.py
@@ -1,12 +1,10 @@
 """Tests of requests with a single response: execution and retries."""
 
-import asyncio
-
 from tests.gateway import site_fixtures
 from vanillayoke.standins import calls
 from vanillayoke.standins import targets
 from vanillayoke.testing import fixtures
-
+import asyncio
 
 def _inject(site, fault, times=1):
     for name in ('t1', 't2'):
@@ -45,7 +43,7 @@
         for n in range(8)
     ]
     case.assertEqual({200}, {answer.status for answer in answers})
-    case.assertGreaterEqual(len(site.targets['t1'].runs), 1)
+    case.assertGreaterEqual(len(site.targets['t1'].executions), 1)
 
 
 async def test_duplicate_response_to_earlier_request_is_skipped(case, site):
@@ -61,7 +59,7 @@
 
 async def test_truncated_response_is_not_forwarded(case, site):
     await site.start()
-    _inject(site, targets.Fault.CUT_ANSWER, 3)
+    _inject(site, targets.Fault.TRUNCATE_ANSWER, 3)
     answer = await site.call('i1', 'order', request='a')
     case.assertEqual(502, answer.status)
 
@@ -107,12 +105,12 @@
         await site.call('i1', 'order', request=f'a{n}') for n in range(4)
     ]
     case.assertEqual({200}, {answer.status for answer in answers})
-    case.assertEqual([], site.targets['t1'].runs)
+    case.assertEqual([], site.targets['t1'].executions)
 
 
 async def test_unresponsive_target_does_not_exceed_deadline(case, site):
     await site.start()
-    _inject(site, targets.Fault.MUTE, 3)
+    _inject(site, targets.Fault.UNRESPONSIVE, 3)
     started_at = site.timers.now()
     answer = await site.call('i1', 'order', request='a')
     case.assertEqual(504, answer.status)
@@ -126,7 +124,7 @@
     The caller gets an error early enough to retry within its deadline.
     """
     await site.start()
-    _inject(site, targets.Fault.MUTE, 1)
+    _inject(site, targets.Fault.UNRESPONSIVE, 1)
     started_at = site.timers.now()
     answer = await site.call('i1', 'look', method=b'GET')
     case.assertEqual(502, answer.status)
@@ -136,7 +134,7 @@
 async def test_retry_avoids_unresponsive_target(case, site):
     """One of two targets is unresponsive, and the caller retries at once."""
     await site.start()
-    site.targets['t1'].faults.extend([targets.Fault.MUTE] * 20)
+    site.targets['t1'].faults.extend([targets.Fault.UNRESPONSIVE] * 20)
     statuses = []
     for _ in range(8):
         answer = await site.call('i1', 'look', method=b'GET')
@@ -157,7 +155,7 @@
     site.store.put('op', 'config', calls.make_configuration(2, [route]))
     await asyncio.sleep(0.1)
     for name in ('t1', 't2'):
-        site.targets[name].work = 2.0
+        site.targets[name].service_time = 2.0
     for _ in range(4):
         answer = await site.call('i1', 'brief', method=b'GET')
         case.assertEqual(504, answer.status)
