--- a/libs/gateway/vanillayoke/gateway/access.py
+++ b/libs/gateway/vanillayoke/gateway/access.py
@@ -1,9 +1,11 @@
 """Authentication of requests by the keys of organisations."""
 
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import refusals
-import typing
+
 
 class Access:
     """Finds the organisation of each request.
--- a/libs/gateway/vanillayoke/gateway/calls.py
+++ b/libs/gateway/vanillayoke/gateway/calls.py
@@ -1,5 +1,7 @@
 """Handling of a caller's request, from arrival to response."""
 
+import asyncio
+
 from vanillayoke.core import events as log_events
 from vanillayoke.core import failures
 from vanillayoke.gateway import catalog as catalog_module
@@ -12,7 +14,6 @@
 from vanillayoke.gateway import unary
 from vanillayoke.scheduling import quotas
 from vanillayoke.transport import server
-import asyncio
 
 # Reserved for sending a refusal before the deadline.
 RESPONSE_MARGIN_SECONDS = 0.03
--- a/libs/gateway/vanillayoke/gateway/context.py
+++ b/libs/gateway/vanillayoke/gateway/context.py
@@ -1,5 +1,7 @@
 """The components of an instance that request handlers use."""
 
+import typing
+
 from vanillayoke.core import logs
 from vanillayoke.core import timers
 from vanillayoke.gateway import access as access_module
@@ -14,7 +16,7 @@
 from vanillayoke.gateway import store as store_module
 from vanillayoke.scheduling import occupancy
 from vanillayoke.transport import client
-import typing
+
 
 class Context(typing.NamedTuple):
     """The components that request handlers use.
--- a/libs/gateway/vanillayoke/gateway/dialect.py
+++ b/libs/gateway/vanillayoke/gateway/dialect.py
@@ -1,11 +1,13 @@
 """The interface between the gateway and a platform's wire format."""
 
+import abc
+import typing
+
 from vanillayoke.gateway import messages
 from vanillayoke.transport import client
 from vanillayoke.transport import headers
 from vanillayoke.transport import server
-import abc
-import typing
+
 
 class BadCallError(Exception):
     """A request lacks a required header field, or a field is invalid."""
@@ -50,7 +52,7 @@
 
     @abc.abstractmethod
     def encode_call(
-        self, call: messages.Call, sending: messages.ForwardOptions
+        self, call: messages.Call, options: messages.ForwardOptions
     ) -> headers.Headers:
         """Return the header fields to send to a target."""
 
--- a/libs/gateway/vanillayoke/gateway/dispatch.py
+++ b/libs/gateway/vanillayoke/gateway/dispatch.py
@@ -35,7 +35,7 @@
         self.route: messages.Route | None = None
         self.organisation: messages.Organisation | None = None
         # Whether the caller's key is removed before forwarding.
-        self.hides_key = False
+        self.strips_key = False
         self.service = ''
         self.target: str | None = None
         self.coordinator: str | None = None
@@ -43,6 +43,7 @@
         self.affinity_target: str | None = None
         self.status = 0
         self.attempts = 0
+        # Attempts that a target rejected without running the request.
         self.sheds = 0
         # Targets at which the request may have run.
         self.started_targets: set[str] = set()
@@ -84,16 +85,16 @@
 
         Without organisations, the name is returned unchanged.
         """
-        if not self.hides_key:
+        if not self.strips_key:
             return name
         return scopes.qualify(self.organisation_name, name)
 
     def set_organisation(
-        self, organisation: messages.Organisation | None, hides_key: bool
+        self, organisation: messages.Organisation | None, strips_key: bool
     ) -> None:
-        """Set the organisation, and whether targets may see the key."""
+        """Set the organisation, and whether to remove the caller's key."""
         self.organisation = organisation
-        self.hides_key = hides_key
+        self.strips_key = strips_key
 
     def set_route(self, route: messages.Route, service: str) -> None:
         """Set the route, the service and the deadline."""
@@ -126,7 +127,9 @@
             self._slowdowns[service] = slowdown
         return slowdown
 
-    def _make_criteria(self, progress: Progress) -> occupancy.PlacementCriteria:
+    def _make_criteria(
+        self, progress: Progress
+    ) -> occupancy.PlacementCriteria:
         criteria = occupancy.PlacementCriteria(
             progress.affinity_target,
             self._context.settings.zone,
@@ -185,7 +188,7 @@
             progress.urgency,
             last_event,
             organisation=progress.organisation_name,
-            strips_key=progress.hides_key,
+            strips_key=progress.strips_key,
         )
 
     def _find_urgency(self, progress: Progress) -> int | None:
--- a/libs/gateway/vanillayoke/gateway/endpoints.py
+++ b/libs/gateway/vanillayoke/gateway/endpoints.py
@@ -1,13 +1,15 @@
 """HTTP endpoints for readiness, address lookup and relayed store calls."""
 
+import random
+import typing
+
 from vanillayoke.cluster import messages as cluster_messages
 from vanillayoke.gateway import dialect as dialect_module
 from vanillayoke.gateway import directory
 from vanillayoke.gateway import members as members_module
 from vanillayoke.gateway import store as store_module
 from vanillayoke.transport import server
-import random
-import typing
+
 
 class Endpoints:
     """Handlers of an instance's auxiliary endpoints."""
--- a/libs/gateway/vanillayoke/gateway/forwarding.py
+++ b/libs/gateway/vanillayoke/gateway/forwarding.py
@@ -1,13 +1,14 @@
 """A single attempt to forward a request to a target."""
 
+import asyncio
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import dialect as dialect_module
 from vanillayoke.gateway import load_queries
 from vanillayoke.gateway import messages
 from vanillayoke.scheduling import occupancy
 from vanillayoke.transport import client
-import asyncio
-import typing
 
 # The target at this address is another one than expected.
 _MISDIRECTED = 421
@@ -100,7 +101,7 @@
     async def send(
         self,
         call: messages.Call,
-        sending: messages.ForwardOptions,
+        options: messages.ForwardOptions,
         must_run_once: bool,
     ) -> client.Head:
         """Send the request and return the head of the response.
@@ -109,7 +110,7 @@
         byte was sent. ``must_run_once`` restricts the choice of pooled
         connections to recently used ones.
         """
-        headers = self._dialect.encode_call(call, sending)
+        headers = self._dialect.encode_call(call, options)
         connection = await self._pool.acquire(
             self.target.address,
             MAX_IDLE_BEFORE_UNSAFE_SECONDS if must_run_once else None,
--- a/libs/gateway/vanillayoke/gateway/histories.py
+++ b/libs/gateway/vanillayoke/gateway/histories.py
@@ -1,13 +1,14 @@
 """Storage of turns, and retrieval of their history for later turns."""
 
+import collections
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import partitions
 from vanillayoke.gateway import retries
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import transcripts
-import collections
-import typing
 
 TABLE = 'turns'
 MAX_CACHE_BYTES = 8 * 1024 * 1024
@@ -107,23 +108,30 @@
         or, unless ``waits_when_unreachable``, when the whole store is
         unreachable.
         """
-        partitions = partitions.list_candidates(turn, CANDIDATE_PARTITION_COUNT)
+        candidates = partitions.list_candidates(
+            turn, CANDIDATE_PARTITION_COUNT
+        )
         pause = retries.INITIAL_BACKOFF_SECONDS
         while True:
-            for partition in sorted(partitions, key=self._store.has_recent_failure):
+            for partition in sorted(
+                candidates, key=self._store.has_recent_failure
+            ):
                 remaining = deadline - self._timers.now()
                 timeout_seconds = min(
                     remaining, retries.compute_timeout(self._store)
                 )
                 try:
                     return await operation(
-                        partition, max(retries.MIN_ATTEMPT_SECONDS, timeout_seconds)
+                        partition,
+                        max(retries.MIN_ATTEMPT_SECONDS, timeout_seconds),
                     )
                 except store_module.StoreError as error:
                     failure = error
             pause = min(retries.MAX_BACKOFF_SECONDS, pause * 2)
             remaining = deadline - self._timers.now()
-            gives_up = self._store.is_unreachable and not waits_when_unreachable
+            gives_up = (
+                self._store.is_unreachable and not waits_when_unreachable
+            )
             if gives_up or remaining <= retries.MIN_ATTEMPT_SECONDS:
                 raise failure
             await self._store.wait_before_retry(min(pause, remaining))
--- a/libs/gateway/vanillayoke/gateway/instance.py
+++ b/libs/gateway/vanillayoke/gateway/instance.py
@@ -1,5 +1,10 @@
 """A gateway instance: construction, startup and graceful shutdown."""
 
+import asyncio
+import functools
+import random
+import typing
+
 from vanillayoke.core import events as log_events
 from vanillayoke.core import logs
 from vanillayoke.core import timers
@@ -34,10 +39,6 @@
 from vanillayoke.transport import client
 from vanillayoke.transport import datagrams
 from vanillayoke.transport import server
-import asyncio
-import functools
-import random
-import typing
 
 CONNECT_TIMEOUT_SECONDS = 0.4
 MAINTENANCE_INTERVAL_SECONDS = 0.25
@@ -195,17 +196,17 @@
             self._instrumentation.record_budget_decision,
         )
         self._histories = histories.Histories(self._store, self._timers)
-        shared_health = shared_health.SharedHealth(settings.instance, random_float)
+        health = shared_health.SharedHealth(settings.instance, random_float)
         self._health_gossip = health_gossip.HealthGossip(
             settings.instance,
-            shared_health,
+            health,
             lambda: self._members.list_eligible(),
             self._timers,
             self._rng,
             self._instrumentation,
         )
         self._occupancy = occupancy.Occupancy(
-            shared_health,
+            health,
             self._health_gossip.count_instances,
             self._health_gossip.publish,
         )
@@ -290,7 +291,7 @@
         )
         self._peers = peers_module.Peers(
             self._timers,
-            self._answer_peer,
+            self._handle_peer_request,
             lambda data, sender: self._members.receive(data, sender),
             self._health_gossip.receive,
             self._load_queries.handle,
@@ -356,13 +357,15 @@
 
     # Other instances
 
-    def _answer_peer(self, question: peer_messages.Request) -> typing.Any:
-        match question:
+    def _handle_peer_request(
+        self, request: peer_messages.Request
+    ) -> typing.Any:
+        match request:
             case peer_messages.LoadQuery():
-                return self._load_queries.handle_request(question)
+                return self._load_queries.handle_request(request)
             case peer_messages.UsageReport():
-                return self._limit_accounts.handle_request(question)
-        return self._reservations.handle_request(question)
+                return self._limit_accounts.handle_request(request)
+        return self._reservations.handle_request(request)
 
     def _list_relays(self) -> list[str]:
         own_name = self.settings.instance
@@ -392,10 +395,9 @@
         ).run()
 
     def _update_exclusivity(self) -> None:
-        """Update what decides whether this instance coordinates exclusively.
+        """Check for interruptions of this instance.
 
-        After an interruption, another instance may have coordinated its
-        programs in the meantime.
+        During one, another instance may have coordinated its programs.
         """
         now = self._timers.now()
         self._exclusivity.tick(
--- a/libs/gateway/vanillayoke/gateway/instrumentation.py
+++ b/libs/gateway/vanillayoke/gateway/instrumentation.py
@@ -106,16 +106,16 @@
             incarnation=member.incarnation,
         )
 
-    def record_health_state(self, verdict: shared_health.HealthState) -> None:
+    def record_health_state(self, state: shared_health.HealthState) -> None:
         """Record a change in the shared health state of a target."""
-        if verdict.is_over:
-            self._log.write(log_events.TARGET_WELL, target=verdict.target)
+        if state.is_over:
+            self._log.write(log_events.TARGET_WELL, target=state.target)
             return
         self._log.write(
             log_events.TARGET_SICK,
-            target=verdict.target,
-            episode=verdict.episode,
-            reporters=list(verdict.reporters),
+            target=state.target,
+            episode=state.episode,
+            reporters=list(state.reporters),
         )
 
     def record_failure(self, error: BaseException) -> None:
--- a/libs/gateway/vanillayoke/gateway/store_waiting.py
+++ b/libs/gateway/vanillayoke/gateway/store_waiting.py
@@ -1,10 +1,11 @@
 """Waiting of turns for the store during an outage."""
 
+import typing
+
 from vanillayoke.gateway import context as context_module
 from vanillayoke.gateway import dispatch
 from vanillayoke.gateway import refusals
 from vanillayoke.scheduling import outages
-import typing
 
 POLL_SECONDS = 0.1
 # Callers abort a stream when they receive nothing for the longest of: the
@@ -54,7 +55,9 @@
                 str(error),
                 outages.MIN_PAUSE_SECONDS,
             ) from error
-        await self._context.store.wait_before_retry(min(remaining, POLL_SECONDS))
+        await self._context.store.wait_before_retry(
+            min(remaining, POLL_SECONDS)
+        )
 
     def find_latest_start(self, progress: dispatch.Progress) -> float:
         """Return the latest time at which a turn can start and finish."""
@@ -91,9 +94,9 @@
                 return timeout
             case outages.Refuse(retry_after):
                 detail = (
-                    f'{error}; unavailable for {outage.age:.2f} s,'
-                    f' time left'
-                    f' {turn.time_left:.2f} s, needed {turn.service_time:.2f} s'
+                    f'{error}; unavailable for {outage.age:.2f} s, time left'
+                    f' {turn.time_left:.2f} s, needed'
+                    f' {turn.service_time:.2f} s'
                 )
                 raise refusals.RefusalError(
                     refusals.Reason.STORE_UNAVAILABLE, detail, retry_after
--- a/libs/gateway/vanillayoke/gateway/turns.py
+++ b/libs/gateway/vanillayoke/gateway/turns.py
@@ -1,5 +1,7 @@
 """Turns of programs: streamed requests with a budget and stored history."""
 
+import msgspec
+
 from vanillayoke.gateway import context as context_module
 from vanillayoke.gateway import dispatch
 from vanillayoke.gateway import forwarding
@@ -15,7 +17,6 @@
 from vanillayoke.transport import client
 from vanillayoke.transport import headers as headers_module
 from vanillayoke.transport import server
-import msgspec
 
 _DROPPED = frozenset((b'content-length',))
 _FIRST_NON_SUCCESS_STATUS = 300
@@ -144,7 +145,6 @@
             times = (
                 program_slack.TypicalTime(INITIAL_FIRST_EVENT_SECONDS),
                 program_slack.TypicalTime(INITIAL_EVENT_INTERVAL_SECONDS),
-            ),
             )
             self._typical_times[service] = times
         return times
@@ -268,12 +268,12 @@
         progress = turn.progress
         progress.attempts += 1
         async with self._dispatcher.make_attempt(progress, target) as attempt:
-            sending = self._dispatcher.make_forward_options(
+            options = self._dispatcher.make_forward_options(
                 progress, target, turn.last_event
             )
             progress.may_have_run = True
             head = await attempt.send(
-                turn.call, sending, not progress.route.is_idempotent
+                turn.call, options, not progress.route.is_idempotent
             )
             if (
                 head.status >= _FIRST_NON_SUCCESS_STATUS
--- a/libs/gateway/vanillayoke/gateway/unary.py
+++ b/libs/gateway/vanillayoke/gateway/unary.py
@@ -1,5 +1,8 @@
 """Requests with a single, non-streamed response."""
 
+import asyncio
+import typing
+
 from vanillayoke.gateway import context as context_module
 from vanillayoke.gateway import dispatch
 from vanillayoke.gateway import forwarding
@@ -9,8 +12,6 @@
 from vanillayoke.transport import client
 from vanillayoke.transport import headers as headers_module
 from vanillayoke.transport import server
-import asyncio
-import typing
 
 # Set anew for the caller.
 _DROPPED = frozenset((b'content-length',))
@@ -35,8 +36,8 @@
     def __init__(self, context: context_module.Context) -> None:
         self._context = context
         self._dispatcher = dispatch.Dispatcher(context)
-        self._typical: dict[str, program_slack.TypicalTime] = {}
-        self._averages: dict[str, program_slack.AverageTime] = {}
+        self._typical_latencies: dict[str, program_slack.TypicalTime] = {}
+        self._average_latencies: dict[str, program_slack.AverageTime] = {}
 
     async def serve(
         self, progress: dispatch.Progress, responder: server.Responder
@@ -65,13 +66,13 @@
     ) -> Response:
         progress.attempts += 1
         async with self._dispatcher.make_attempt(progress, target) as attempt:
-            sending = self._dispatcher.make_forward_options(progress, target)
+            options = self._dispatcher.make_forward_options(progress, target)
             progress.may_have_run = True
             if progress.route.kind is not messages.RouteKind.SAFE:
-                return await self._exchange(progress, attempt, sending)
+                return await self._exchange(progress, attempt, options)
             try:
                 async with asyncio.timeout(self._compute_timeout(progress)):
-                    return await self._exchange(progress, attempt, sending)
+                    return await self._exchange(progress, attempt, options)
             except TimeoutError as error:
                 attempt.latency_ratio = load_counts.MAX_LATENCY_RATIO
                 raise client.TimedOut('target response timed out') from error
@@ -80,14 +81,14 @@
         self,
         progress: dispatch.Progress,
         attempt: forwarding.Attempt,
-        sending: messages.ForwardOptions,
+        options: messages.ForwardOptions,
     ) -> Response:
         head = await attempt.send(
-            progress.call, sending, not progress.route.is_idempotent
+            progress.call, options, not progress.route.is_idempotent
         )
         response = Response(head, await attempt.read_body())
         latency = self._context.timers.now() - attempt.started_at
-        average = self._averages.setdefault(
+        average = self._average_latencies.setdefault(
             progress.route.name, program_slack.AverageTime(latency)
         )
         attempt.latency_ratio = latency / average.value
@@ -97,7 +98,7 @@
     def _compute_timeout(self, progress: dispatch.Progress) -> float:
         """Return the timeout of an attempt on a safe route, in seconds."""
         time_limit = progress.deadline - progress.started_at
-        typical = self._typical.get(progress.route.name)
+        typical = self._typical_latencies.get(progress.route.name)
         from_latency = (
             0.0 if typical is None else TIMEOUT_LATENCY_FACTOR * typical.value
         )
@@ -108,9 +109,11 @@
     def _record_latency(self, progress: dispatch.Progress) -> None:
         name = progress.route.name
         latency = self._context.timers.now() - progress.started_at
-        typical = self._typical.get(name)
+        typical = self._typical_latencies.get(name)
         if typical is None:
-            typical = self._typical[name] = program_slack.TypicalTime(latency)
+            typical = self._typical_latencies[name] = (
+                program_slack.TypicalTime(latency)
+            )
         typical.learn(latency)
 
 
--- a/tests/gateway/site.py
+++ b/tests/gateway/site.py
@@ -1,5 +1,10 @@
 """A small deployment for tests: a fake store, targets and instances."""
 
+import asyncio
+import contextvars
+import random
+import typing
+
 from vanillayoke.adapter import fields
 from vanillayoke.adapter import wire
 from vanillayoke.core import logs
@@ -12,10 +17,6 @@
 from vanillayoke.standins import targets as targets_module
 from vanillayoke.transport import client
 from vanillayoke.transport import headers as headers_module
-import asyncio
-import contextvars
-import random
-import typing
 
 STORE = '10.9.0.1:8142'
 FRONT_PORT = 8149
--- a/tests/gateway/test_outages.py
+++ b/tests/gateway/test_outages.py
@@ -1,5 +1,7 @@
 """Tests with a store that is unavailable or slow, entirely or in part."""
 
+import asyncio
+
 from tests.gateway import site as site_module
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import histories
@@ -7,7 +9,7 @@
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
-import asyncio
+
 
 async def test_turn_waits_for_store_to_recover(case, site):
     """A program that starts in a short outage waits until it ends.
@@ -172,12 +174,12 @@
     A 404 would tell the program that its history is lost.
     """
     await site.start()
-    places = partitions.list_candidates(
+    candidates = partitions.list_candidates(
         'a', histories.CANDIDATE_PARTITION_COUNT
     )
-    site.store.unavailable_partitions = {places[0]}
+    site.store.unavailable_partitions = {candidates[0]}
     await site.turn('i1', 'a', b'one')
-    site.store.unavailable_partitions = {places[1]}
+    site.store.unavailable_partitions = {candidates[1]}
     answer = await site.turn('i2', 'b', previous='a')
     case.assertEqual(503, answer.status)
     site.store.unavailable_partitions = set()
--- a/tests/gateway/test_turns.py
+++ b/tests/gateway/test_turns.py
@@ -1,5 +1,9 @@
 """Tests of turns: streaming, history and budgets, also under failures."""
 
+import asyncio
+
+import msgspec
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers
@@ -8,8 +12,7 @@
 from vanillayoke.standins import store as store_module
 from vanillayoke.standins import targets
 from vanillayoke.testing import fixtures
-import asyncio
-import msgspec
+
 
 def _make_text(request, events=4):
     return b''.join(b'%s:%d\n' % (request, n) for n in range(1, events + 1))
@@ -155,12 +158,12 @@
     than its budget.
     """
     await site.start(3)
-    homes = site.instances['i1']._members.list_eligible()
-    home = rendezvous.find_coordinator('p1', homes).instance
-    other = next(name for name in ('i1', 'i2', 'i3') if name != home)
+    eligible = site.instances['i1']._members.list_eligible()
+    coordinator = rendezvous.find_coordinator('p1', eligible).instance
+    other = next(name for name in ('i1', 'i2', 'i3') if name != coordinator)
     for number in range(3):
         await site.turn(other, f'a{number}', route='plan', budget=400)
-    site_fixtures.kill(site, network, home)
+    site_fixtures.kill(site, network, coordinator)
     await asyncio.sleep(4.0)
     tokens = 120
     for number in range(12):
@@ -209,8 +212,8 @@
     )
     case.assertEqual(200, answer.status)
     members = [rendezvous.Peer(name, '') for name in sorted(site.instances)]
-    home = rendezvous.find_coordinator('small', members).instance
-    site_fixtures.kill(site, network, home)
+    coordinator = rendezvous.find_coordinator('small', members).instance
+    site_fixtures.kill(site, network, coordinator)
     await asyncio.sleep(3.0)
     other = next(iter(site.instances))
     statuses = []
