--- a/libs/gateway/vanillayoke/gateway/dispatch.py
+++ b/libs/gateway/vanillayoke/gateway/dispatch.py
@@ -325,7 +325,11 @@
         targets = self._context.catalog.list_targets(progress.service)
         if len(progress.started_targets) < progress.route.max_attempts:
             return targets
-        return [one for one in targets if one.name in progress.started_targets]
+        return [
+            target
+            for target in targets
+            if target.name in progress.started_targets
+        ]
 
     def record_success(
         self, progress: Progress, target: messages.Target
--- a/libs/gateway/vanillayoke/gateway/forwarding.py
+++ b/libs/gateway/vanillayoke/gateway/forwarding.py
@@ -10,7 +10,7 @@
 from vanillayoke.scheduling import occupancy
 from vanillayoke.transport import client
 
-# The target at this address is another one than expected.
+# The server at this address is not the expected target.
 _MISDIRECTED = 421
 _FIRST_NON_SUCCESS_STATUS = 300
 # Requests that must not run twice use a pooled connection only if it has been
@@ -153,7 +153,7 @@
         metadata = self._dialect.decode_answer(head)
         if metadata.load is not None:
             report = occupancy.LoadReport(*metadata.load)
-            # A stream outdates the number before the attempt ends.
+            # For successful streams, the count would be outdated by their end.
             if head.status >= _FIRST_NON_SUCCESS_STATUS:
                 self._reported_count = (
                     metadata.load.running + metadata.load.waiting
--- a/libs/transport/vanillayoke/transport/client.py
+++ b/libs/transport/vanillayoke/transport/client.py
@@ -340,7 +340,9 @@
             for connection in pooled:
                 if connection.is_closed or now >= connection.idle_deadline:
                     connection.abort()
-            usable = [one for one in pooled if not one.is_closed]
+            usable = [
+                connection for connection in pooled if not connection.is_closed
+            ]
             if usable:
                 self._idle[address] = usable
             else:
--- a/libs/transport/vanillayoke/transport/server.py
+++ b/libs/transport/vanillayoke/transport/server.py
@@ -386,7 +386,7 @@
     @property
     def active_connections(self) -> int:
         """The number of connections with a request in progress."""
-        return sum(not one.is_idle for one in self.connections)
+        return sum(not connection.is_idle for connection in self.connections)
 
     def drain(self) -> None:
         """Close each connection after its next response."""
