--- a/tests/gateway/test_all_leave.py
+++ b/tests/gateway/test_all_leave.py
@@ -1,9 +1,8 @@
-"""All instances are told to stop at once, under programs with sub-agents.
+"""Tests that no budget is withheld while all instances stop at once.
 
-Callers saw sub-agents refused as "budget spent" with half of the budget
-unused. Instances that leave differ for a moment about who stays; tokens went
-to instances that no later search asked. Each seed draws other programs and
-another order of the stops; all of these were red.
+Membership views differ while the instances leave, so tokens may be transferred
+to instances that no search asks. Each seed varies the programs and the order
+of the stops.
 """
 
 import asyncio
@@ -14,43 +13,41 @@
 from vanillayoke.testing import fixtures
 
 SEEDS = (31, 33, 37)
-INSTANCES = 7
-CALLERS = 24
-# Tokens of a whole turn, its most.
-TURN = 40
-# An event of the stand-in stands for so many tokens.
-EVENT = 10
-# A program starts this many sub-agents at once, for so many turns each.
-HELPERS = 3
-HELPER_TURNS = 2
-MOST_TRIES = 9
-# What a home may count as granted without use, as a share of the budget.
-CHARGE_SHARE = 0.25
-# How long callers go on while all instances stop. Seconds.
-STOPPING = 7.0
+INSTANCE_COUNT = 7
+CALLER_COUNT = 24
+MAX_TURN_TOKENS = 40
+TOKENS_PER_EVENT = 10
+# Sub-agents that a program starts at once, and turns of each.
+SUB_AGENT_COUNT = 3
+SUB_AGENT_TURNS = 2
+MAX_ATTEMPTS = 9
+# The share of the budget that a coordinator may charge for lost credit.
+CHARGE_RATIO = 0.25
+# How long callers continue while all instances stop.
+STOP_SECONDS = 7.0
 
 
 class _Callers:
-    """Programs that hand work to sub-agents until they are told to end."""
+    """Programs that delegate work to sub-agents until told to end."""
 
     def __init__(self, site, seed):
         self._site = site
         self._source = random.Random(seed)
         self._used = collections.Counter()
-        self.is_over = False
+        self.is_ending = False
         self.is_stopped = False
         self.withheld = []
 
     async def run(self, number):
         for program in range(10_000):
-            if self.is_over:
+            if self.is_ending:
                 return
             await self._run_program(f'p{number}-{program}')
 
     async def _run_program(self, program):
         source = self._source
         turns = source.randint(2, 5)
-        budget = (turns + HELPERS * HELPER_TURNS) * TURN
+        budget = (turns + SUB_AGENT_COUNT * SUB_AGENT_TURNS) * MAX_TURN_TOKENS
         route = source.choice(('chat', 'plan'))
         for _ in range(turns):
             if not await self._run_turn(program, budget, route):
@@ -59,18 +56,18 @@
             if source.random() < 0.3:
                 await asyncio.gather(
                     *(
-                        self._help_out(program, budget, route)
-                        for _ in range(HELPERS)
+                        self._run_sub_agent(program, budget, route)
+                        for _ in range(SUB_AGENT_COUNT)
                     )
                 )
 
-    async def _help_out(self, program, budget, route):
-        for _ in range(HELPER_TURNS):
+    async def _run_sub_agent(self, program, budget, route):
+        for _ in range(SUB_AGENT_TURNS):
             if not await self._run_turn(program, budget, route):
                 return
 
     async def _run_turn(self, program, budget, route):
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             if self.is_stopped:
                 return False
             answer = await self._try(program, budget, route)
@@ -83,43 +80,44 @@
         site = self._site
         request = site.name_request()
         instance = self._source.choice(list(site.fronts))
-        # Counted at its most while it may run.
-        self._used[program] += TURN
+        # The maximum is counted while the turn may be running.
+        self._used[program] += MAX_TURN_TOKENS
         answer = await sites.try_turn(
-            site, instance, request, program, budget, TURN, route
+            site, instance, request, program, budget, MAX_TURN_TOKENS, route
         )
         if answer is None:
             return None
-        used = answer.body.count(b'data') * EVENT
+        used = answer.body.count(b'data') * TOKENS_PER_EVENT
         if answer.status != 200 and site.list_runs(request):
-            used = TURN
-        self._used[program] += used - TURN
+            used = MAX_TURN_TOKENS
+        self._used[program] += used - MAX_TURN_TOKENS
         if answer.status == 402:
             self._check(program, budget)
         return answer.status
 
     def _check(self, program, budget):
-        charge = max(TURN, int(budget * CHARGE_SHARE))
+        charge = max(MAX_TURN_TOKENS, int(budget * CHARGE_RATIO))
         used = self._used[program]
-        if used + charge + TURN <= budget:
+        if used + charge + MAX_TURN_TOKENS <= budget:
             self.withheld.append(f'{program}: {used} of {budget} used')
 
 
-async def _play(site, seed):
-    """Let callers meet the stop of all; return whom a budget was kept from."""
+async def _run_stop(site, seed):
+    """Stop all instances under load; return the programs refused wrongly."""
     source = random.Random(f'stops {seed}')
-    await site.start(INSTANCES)
+    await site.start(INSTANCE_COUNT)
     callers = _Callers(site, seed)
     tasks = [
-        asyncio.create_task(callers.run(number)) for number in range(CALLERS)
+        asyncio.create_task(callers.run(number))
+        for number in range(CALLER_COUNT)
     ]
     await asyncio.sleep(3 + source.random())
-    callers.is_over = True
+    callers.is_ending = True
     stops = []
     for front in list(site.fronts.values()):
         stops.append(asyncio.create_task(front.stop()))
         await asyncio.sleep(source.choice((0, 0.001, 0.003, 0.01, 0.05)))
-    await asyncio.sleep(STOPPING)
+    await asyncio.sleep(STOP_SECONDS)
     callers.is_stopped = True
     await asyncio.gather(*stops)
     for task in tasks:
@@ -129,7 +127,7 @@
 
 def _make_test(seed):
     async def test(case, site):
-        case.assertEqual([], await _play(site, seed))
+        case.assertEqual([], await _run_stop(site, seed))
 
     test.__name__ = f'test_no_budget_is_withheld_{seed}'
     test.__doc__ = f'Programs and stops drawn with seed {seed}.'
--- a/tests/gateway/test_credit.py
+++ b/tests/gateway/test_credit.py
@@ -1,4 +1,4 @@
-"""Tests of turns on credit: programs go on while the store is away."""
+"""Tests of turns on credit while the store is unavailable."""
 
 import asyncio
 
@@ -11,10 +11,10 @@
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
 
-MOST = 40
+MAX_TOKENS = 40
 
 
-def _find_home(site, program):
+def _find_coordinator(site, program):
     members = [
         rendezvous.Peer(name, front.settings.front)
         for name, front in site.fronts.items()
@@ -22,8 +22,8 @@
     return rendezvous.find_coordinator(program, members).instance
 
 
-async def _go_away(site, mode=store_module.Mode.RESET):
-    # One program before, as on any site that has been up for a while.
+async def _stop_store(site, mode=store_module.Mode.RESET):
+    # An earlier program, as on a site that has been running.
     for name in site.fronts:
         await site.turn(name, f'before-{name}', route='plan', program='old')
     site.store.mode = mode
@@ -36,23 +36,23 @@
     )
 
 
-async def test_program_starts_while_the_store_is_away(case, site):
-    """The store is away for seconds; a planner's program begins meanwhile.
+async def test_program_starts_while_the_store_is_unavailable(case, site):
+    """A new program must not wait for the store to recover.
 
-    Nothing of it is kept, so all it needs from the store is a grant. Its
-    home knows that it can't have run before and lets it begin at once.
+    Its turns are not stored, and its coordinator knows that it has no grants
+    elsewhere, so it starts on credit.
     """
     await site.start(3)
-    await _go_away(site)
+    await _stop_store(site)
     began = site.timers.now()
     answers = [await _turn(site, 'i1', number) for number in range(3)]
     case.assertEqual([200] * 3, [answer.status for answer in answers])
     case.assertLess(site.timers.now() - began, 1.0)
 
 
-async def test_credit_is_counted_when_the_store_is_back(case, site):
+async def test_credit_counts_after_the_store_recovers(case, site):
     await site.start(3)
-    await _go_away(site)
+    await _stop_store(site)
     for number in range(3):
         await _turn(site, 'i1', number)
     site.store.mode = store_module.Mode.SERVE
@@ -62,25 +62,25 @@
     answers = [await _turn(site, 'i3', number) for number in range(30, 33)]
     case.assertEqual([402] * 3, [answer.status for answer in answers])
     runs = sum(len(site.list_runs(f'a{n}')) for n in range(33))
-    case.assertLessEqual(runs * MOST, 800 + MOST)
+    case.assertLessEqual(runs * MAX_TOKENS, 800 + MAX_TOKENS)
 
 
-async def test_credit_is_written_down_soon_after_the_return(case, site):
-    """The home may die at any moment; what it gave must be known by then."""
+async def test_credit_is_recorded_after_the_store_recovers(case, site):
+    """Credit that stays unrecorded would be lost with its coordinator."""
     await site.start(3)
-    await _go_away(site)
+    await _stop_store(site)
     await _turn(site, 'i1', 1)
     case.assertNotIn('new', site.store.list_table('budgets'))
     site.store.mode = store_module.Mode.SERVE
     await asyncio.sleep(2.0)
     row = msgspec.msgpack.decode(site.store.list_table('budgets')['new'])
-    case.assertGreaterEqual(row[1], MOST)
+    case.assertGreaterEqual(row[1], MAX_TOKENS)
 
 
-async def test_slow_store_does_not_hold_a_turn_up(case, site):
-    """Each call takes a third of a second; the turn need not wait for it."""
+async def test_slow_store_does_not_delay_a_turn(case, site):
+    """A turn must start on credit while each store call takes 0.35 s."""
     await site.start(3)
-    await _go_away(site, store_module.Mode.SERVE)
+    await _stop_store(site, store_module.Mode.SERVE)
     site.store.delay = 0.35
     began = site.timers.now()
     answer = await _turn(site, 'i1', 1)
@@ -88,45 +88,45 @@
     case.assertLess(site.timers.now() - began, 0.3)
 
 
-async def test_budget_holds_when_a_home_dies_with_credit(case, site, network):
-    """The home gives credit and loses power before the store is back.
+async def test_budget_holds_when_a_coordinator_fails_with_credit(
+    case, site, network
+):
+    """Unrecorded credit must not let a program exceed its budget.
 
-    What it gave stands nowhere. The next home counts the credit as used, so
-    a program that never stops gets its budget and one turn at the most.
+    The coordinator fails before the store recovers. The next one charges the
+    maximum credit, so the program gets at most its budget and one turn.
     """
     await site.start(3)
-    await _go_away(site)
-    home = _find_home(site, 'new')
-    other = next(name for name in site.fronts if name != home)
+    await _stop_store(site)
+    coordinator = _find_coordinator(site, 'new')
+    other = next(name for name in site.fronts if name != coordinator)
     number = 0
     for number in range(8):
         await _turn(site, other, number)
-    sites.kill(site, network, home)
+    sites.kill(site, network, coordinator)
     await asyncio.sleep(3.0)
     site.store.mode = store_module.Mode.SERVE
     await asyncio.sleep(1.0)
     while (await _turn(site, other, number + 1)).status == 200:
         number += 1
     runs = sum(len(site.list_runs(f'a{n}')) for n in range(number + 2))
-    case.assertLessEqual(runs * MOST, 800 + MOST)
-    case.assertGreaterEqual(runs * MOST, 800 - 400)
+    case.assertLessEqual(runs * MAX_TOKENS, 800 + MAX_TOKENS)
+    case.assertGreaterEqual(runs * MAX_TOKENS, 800 - 400)
 
 
-async def test_kept_turn_does_not_hide_credit_of_a_home_that_died(
-    case, site, network
-):
-    """A program has turns of both kinds, and its home dies with its credit.
+async def test_stored_turn_does_not_hide_lost_credit(case, site, network):
+    """Lost credit must be charged although the next turn can't have credit.
 
-    The first turn at the next home is kept, so it never had credit itself;
-    what the former home gave to the others still counts.
+    The first turn at the next coordinator is stored, so that it gets no
+    credit; the former coordinator gave credit to earlier turns.
     """
     await site.start(3)
-    await _go_away(site)
-    home = _find_home(site, 'new')
-    other = next(name for name in site.fronts if name != home)
+    await _stop_store(site)
+    coordinator = _find_coordinator(site, 'new')
+    other = next(name for name in site.fronts if name != coordinator)
     for number in range(8):
         await _turn(site, other, number)
-    sites.kill(site, network, home)
+    sites.kill(site, network, coordinator)
     await asyncio.sleep(3.0)
     site.store.mode = store_module.Mode.SERVE
     await asyncio.sleep(1.0)
@@ -135,13 +135,14 @@
     while (await _turn(site, other, number + 1)).status == 200:
         number += 1
     runs = sum(len(site.list_runs(f'a{n}')) for n in range(number + 2))
-    case.assertLessEqual(runs * MOST, 800 + MOST)
+    case.assertLessEqual(runs * MAX_TOKENS, 800 + MAX_TOKENS)
 
 
-async def test_credit_is_not_given_beside_a_grant_in_doubt(case, site):
-    """The store takes a grant, its reply is lost, and then it is away.
+async def test_credit_does_not_repeat_an_unconfirmed_grant(case, site):
+    """Credit must not repeat a grant whose write may have taken effect.
 
-    The home must not give on credit what the row may have granted already.
+    The store applies the write, its response is lost, and the store becomes
+    unavailable.
     """
     await site.start(1)
     await site.turn('i1', 'before', route='plan', program='old')
@@ -168,14 +169,16 @@
     for n in range(number + 10, number + 40):
         await _turn(site, 'i1', n)
     runs = sum(len(site.list_runs(f'a{n}')) for n in range(number + 40))
-    case.assertLessEqual(runs * MOST, 800 + MOST)
+    case.assertLessEqual(runs * MAX_TOKENS, 800 + MAX_TOKENS)
 
 
-async def test_spent_program_gets_no_credit_of_a_new_home(case, site, network):
-    """A program that was stopped comes back while the store is away.
+async def test_spent_program_gets_no_credit_from_a_new_coordinator(
+    case, site, network
+):
+    """A new coordinator must not regard a spent program as a new one.
 
-    Its home has died since. The next one can't read that the budget is
-    spent, and must not take it for a new program.
+    The former coordinator has failed, and the row can't be read while the
+    store is unavailable.
     """
     await site.start(3)
     status = 200
@@ -184,8 +187,8 @@
         number += 1
         status = (await _turn(site, 'i1', number)).status
     case.assertEqual(402, status)
-    home = _find_home(site, 'new')
-    sites.kill(site, network, home)
+    coordinator = _find_coordinator(site, 'new')
+    sites.kill(site, network, coordinator)
     await asyncio.sleep(3.0)
     site.store.mode = store_module.Mode.RESET
     await asyncio.sleep(1.0)
@@ -195,24 +198,23 @@
     case.assertEqual([], site.list_runs(f'a{number + 1}'))
 
 
-async def test_home_that_is_not_sure_gives_no_credit_to_anybody(case, site):
-    """All homes were taken for gone once, and are back.
+async def test_interrupted_coordinator_gives_no_credit(case, site):
+    """A coordinator that was interrupted must not give credit.
 
-    What others granted meanwhile they do not know, so a program may have no
-    budget left. Another instance asks its home while that finds every way to
-    the store closed.
+    Others may have granted tokens meanwhile. The request comes from another
+    instance while the store is unreachable for the coordinator.
     """
     await site.start(3)
-    await _go_away(site)
+    await _stop_store(site)
     for front in site.fronts.values():
         front._exclusivity.record_interruption(site.timers.now())
     for name, front in site.fronts.items():
-        # As in the moments behind a refusal of all other instances.
+        # The store is unreachable, both directly and through relays.
         front._store.availability.is_away = True
         front._store._relays.close()
-        program = _find_program_of(site, name)
+        program = _find_program_coordinated_by(site, name)
         question = peer_messages.Reserve(
-            program, 800, 'turn', MOST, may_owe=True
+            program, 800, 'turn', MAX_TOKENS, may_owe=True
         )
         case.assertEqual(
             peer_messages.Unable(True),
@@ -221,30 +223,32 @@
         case.assertEqual([], site.list_events(name, 'budget_on_credit'))
 
 
-def _find_program_of(site, home):
+def _find_program_coordinated_by(site, coordinator):
     names = (f'new{number}' for number in range(100))
-    return next(name for name in names if _find_home(site, name) == home)
+    return next(
+        name for name in names if _find_coordinator(site, name) == coordinator
+    )
 
 
-async def test_kept_turn_gets_no_answer_on_credit(case, site):
-    """A turn that can't be kept does not run, whatever its budget."""
+async def test_stored_turn_gets_no_credit(case, site):
+    """A turn that must be stored does not run without the store."""
     await site.start(3)
-    await _go_away(site)
+    await _stop_store(site)
     answer = await site.turn('i1', 'kept', program='new')
     case.assertEqual(503, answer.status)
     case.assertEqual([], site.list_runs('kept'))
 
 
-def _make_tenure(is_first_start=True):
-    made = exclusivity.Exclusivity('i1', 0.0, is_first_start)
-    made.record_program()
-    made.update_members(['i1', 'i2'], 0.0)
-    made.tick(0.0, 0.0, 0.25)
-    return made
+def _make_exclusivity(is_first_start=True):
+    tracker = exclusivity.Exclusivity('i1', 0.0, is_first_start)
+    tracker.record_program()
+    tracker.update_members(['i1', 'i2'], 0.0)
+    tracker.tick(0.0, 0.0, 0.25)
+    return tracker
 
 
 def _find_program(wanted):
-    """Return a program whose home is ``wanted`` among two."""
+    """Return a program that ``wanted`` coordinates, of two instances."""
     members = [rendezvous.Peer(name, '') for name in ('i1', 'i2')]
     names = (f'p{number}' for number in range(100))
     return next(
@@ -254,60 +258,62 @@
     )
 
 
-def test_home_from_the_first_start_on_is_sure(case):
-    made = _make_tenure()
-    case.assertTrue(made.is_exclusive(_find_program('i1'), 0.1, 0.1, 0.25))
-    case.assertFalse(made.is_exclusive(_find_program('i2'), 0.1, 0.1, 0.25))
+def test_coordinator_since_the_first_start_is_exclusive(case):
+    tracker = _make_exclusivity()
+    case.assertTrue(tracker.is_exclusive(_find_program('i1'), 0.1, 0.1, 0.25))
+    case.assertFalse(tracker.is_exclusive(_find_program('i2'), 0.1, 0.1, 0.25))
 
 
-def test_restarted_home_is_sure_after_a_while_only(case):
-    made = _make_tenure(is_first_start=False)
+def test_restarted_coordinator_is_exclusive_after_retention(case):
+    tracker = _make_exclusivity(is_first_start=False)
     program = _find_program('i1')
-    case.assertFalse(made.is_exclusive(program, 0.1, 0.1, 0.25))
-    made.tick(0.25, 0.25, 0.25)
+    case.assertFalse(tracker.is_exclusive(program, 0.1, 0.1, 0.25))
+    tracker.tick(0.25, 0.25, 0.25)
     for step in range(1, 600):
-        made.tick(step * 0.25, step * 0.25, 0.25)
-    case.assertTrue(made.is_exclusive(program, 599 * 0.25, 599 * 0.25, 0.25))
+        tracker.tick(step * 0.25, step * 0.25, 0.25)
+    case.assertTrue(
+        tracker.is_exclusive(program, 599 * 0.25, 599 * 0.25, 0.25)
+    )
 
 
-def test_home_in_place_of_one_that_went_is_not_sure(case):
-    made = _make_tenure()
-    made.update_members(['i1'], 1.0)
-    made.tick(0.25, 0.25, 0.25)
-    case.assertFalse(made.is_exclusive(_find_program('i2'), 0.3, 0.3, 0.25))
-    case.assertTrue(made.is_exclusive(_find_program('i1'), 0.3, 0.3, 0.25))
+def test_replacement_coordinator_is_not_exclusive(case):
+    tracker = _make_exclusivity()
+    tracker.update_members(['i1'], 1.0)
+    tracker.tick(0.25, 0.25, 0.25)
+    case.assertFalse(tracker.is_exclusive(_find_program('i2'), 0.3, 0.3, 0.25))
+    case.assertTrue(tracker.is_exclusive(_find_program('i1'), 0.3, 0.3, 0.25))
 
 
-def test_home_that_froze_is_not_sure(case):
-    """Others stood in for it; it has not heard so yet."""
-    made = _make_tenure()
-    case.assertFalse(made.is_exclusive(_find_program('i1'), 3.0, 3.0, 0.25))
-    made.tick(3.0, 3.0, 0.25)
-    case.assertFalse(made.is_exclusive(_find_program('i1'), 3.1, 3.1, 0.25))
+def test_frozen_coordinator_is_not_exclusive(case):
+    """Others may have replaced it without its knowledge."""
+    tracker = _make_exclusivity()
+    case.assertFalse(tracker.is_exclusive(_find_program('i1'), 3.0, 3.0, 0.25))
+    tracker.tick(3.0, 3.0, 0.25)
+    case.assertFalse(tracker.is_exclusive(_find_program('i1'), 3.1, 3.1, 0.25))
 
 
-def test_home_whose_machine_was_suspended_is_not_sure(case):
-    """Its steady clock stood still; only the time of day shows the gap.
+def test_suspended_coordinator_is_not_exclusive(case):
+    """Only the wall clock shows the gap: the monotonic clock stood still.
 
-    Others stood in for it meanwhile, and what they granted it does not know.
+    Others may have granted tokens meanwhile.
     """
-    made = _make_tenure()
-    case.assertFalse(made.is_exclusive(_find_program('i1'), 0.1, 4.1, 0.25))
-    made.tick(0.25, 4.25, 0.25)
-    case.assertFalse(made.is_exclusive(_find_program('i1'), 0.3, 4.3, 0.25))
+    tracker = _make_exclusivity()
+    case.assertFalse(tracker.is_exclusive(_find_program('i1'), 0.1, 4.1, 0.25))
+    tracker.tick(0.25, 4.25, 0.25)
+    case.assertFalse(tracker.is_exclusive(_find_program('i1'), 0.3, 4.3, 0.25))
 
 
-def test_clock_step_back_leaves_a_home_sure(case):
-    made = _make_tenure()
-    made.tick(0.25, -4.75, 0.25)
-    case.assertTrue(made.is_exclusive(_find_program('i1'), 0.3, -4.7, 0.25))
+def test_backward_clock_step_keeps_exclusivity(case):
+    tracker = _make_exclusivity()
+    tracker.tick(0.25, -4.75, 0.25)
+    case.assertTrue(tracker.is_exclusive(_find_program('i1'), 0.3, -4.7, 0.25))
 
 
-def test_home_that_was_taken_for_gone_is_not_sure(case):
-    made = _make_tenure()
-    made.update_incarnation(5, 0.0)
-    made.update_incarnation(6, 0.1)
-    case.assertFalse(made.is_exclusive(_find_program('i1'), 0.2, 0.2, 0.25))
+def test_coordinator_regarded_as_failed_is_not_exclusive(case):
+    tracker = _make_exclusivity()
+    tracker.update_incarnation(5, 0.0)
+    tracker.update_incarnation(6, 0.1)
+    case.assertFalse(tracker.is_exclusive(_find_program('i1'), 0.2, 0.2, 0.25))
 
 
 load_tests = fixtures.adapt(__name__, [sites])
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of limits that hold over all instances of a site."""
+"""Tests of limits across all instances of a site."""
 
 import asyncio
 import collections
@@ -14,18 +14,18 @@
 from vanillayoke.testing import fixtures
 
 WINDOW = 5.0
-# In any window of five seconds: 5 x 4 + 20.
 RATE = 4
 BURST = 20
+# Requests in any window: WINDOW * RATE + BURST.
 LIMIT = 40
-# What may run beyond the limit where counts were lost.
+# Requests that may run beyond the limit if counts are lost.
 TOLERANCE = 6
 INSTANCES = ('i1', 'i2', 'i3', 'i4')
 
 
 @fixtures.fixture
-def shop(site):
-    """Return a site with a limited organisation, once it is started."""
+def limited_site(site):
+    """Return a function that starts a site with a limited organisation."""
 
     async def start(rate=RATE, burst=BURST):
         await site.start(len(INSTANCES))
@@ -44,7 +44,7 @@
     site.configure(version, [red, blue])
 
 
-def rank_homes(organisation='red', names=INSTANCES):
+def rank_coordinators(organisation='red', names=INSTANCES):
     members = [rendezvous.Peer(name, '') for name in names]
     key = limits_module.KEY_PREFIX + organisation
     best = rendezvous.list_highest(key, members, len(members))
@@ -52,9 +52,9 @@
 
 
 async def send(site, instance, count, pause=0.0, key='red-1', program=None):
-    """Send calls one behind another; return how often each status came.
+    """Send calls in sequence; return the number of responses by status.
 
-    Each belongs to a program of its own, or all to one.
+    Each call belongs to a program of its own unless one is given.
     """
     found = collections.Counter()
     for number in range(count):
@@ -68,15 +68,15 @@
 
 
 async def send_all(site, count, pause=0.0, instances=INSTANCES, program=None):
-    """Send so many calls to each instance; return all statuses."""
+    """Send calls to each instance; return the total of each status."""
     found = await asyncio.gather(
         *(send(site, one, count, pause, program=program) for one in instances)
     )
     return sum(found, collections.Counter())
 
 
-def find_most(site, window=WINDOW):
-    """Return the most runs in any window, from what the targets saw."""
+def find_max_runs(site, window=WINDOW):
+    """Return the maximum number of runs in any window, at all targets."""
     times = sorted(
         run.at
         for target in site.targets.values()
@@ -89,24 +89,26 @@
     )
 
 
-async def test_organisation_far_under_its_limit_is_never_refused(case, shop):
-    site = await shop()
+async def test_organisation_below_its_limit_is_never_refused(
+    case, limited_site
+):
+    site = await limited_site()
     found = await send_all(site, 7, 0.7, program='one')
     case.assertEqual({200: 28}, dict(found))
 
 
-async def test_limit_holds_over_all_instances(case, shop):
-    """A hot organisation sends many times its limit through all instances."""
-    site = await shop()
+async def test_limit_holds_over_all_instances(case, limited_site):
+    """An organisation sends many times its limit through all instances."""
+    site = await limited_site()
     found = await send_all(site, 100, 0.1)
     case.assertGreater(found[429], 200)
-    case.assertLessEqual(find_most(site), LIMIT * 1.1)
-    # Ten seconds hold two windows.
+    case.assertLessEqual(find_max_runs(site), LIMIT * 1.1)
+    # The calls last for two windows.
     case.assertGreater(found[200], 2 * LIMIT * 0.8)
 
 
 async def test_small_limit_holds_over_many_instances(case, site):
-    """Each instance sees too little of an organisation to know it."""
+    """Instances must not admit a request each without asking."""
     names = [f'i{number}' for number in range(1, 13)]
     await site.start(len(names))
     configure(site, 2, rate=1, burst=5)
@@ -115,15 +117,15 @@
     case.assertLessEqual(found[200], 10 + 1)
 
 
-async def test_limit_of_one_does_not_bind_another(case, shop):
-    site = await shop()
+async def test_limit_does_not_affect_another_organisation(case, limited_site):
+    site = await limited_site()
     await send_all(site, 30)
     found = await send(site, 'i1', 60, key='blue-1')
     case.assertEqual({200: 60}, dict(found))
 
 
-async def test_refusal_says_when_there_is_room(case, shop):
-    site = await shop()
+async def test_refusal_states_when_to_retry(case, limited_site):
+    site = await limited_site()
     await send_all(site, 30)
     answer = await site.call('i1', 'order', key='red-1')
     case.assertEqual(429, answer.status)
@@ -131,9 +133,9 @@
     case.assertTrue(0 < pause <= 1.0, pause)
 
 
-async def test_program_that_has_begun_goes_first(case, shop):
-    """New programs press in until the limit is used up."""
-    site = await shop(rate=8, burst=40)
+async def test_running_program_has_priority(case, limited_site):
+    """New programs must not use the requests that a running one needs."""
+    site = await limited_site(rate=8, burst=40)
     begun = asyncio.ensure_future(
         send(site, 'i1', 20, 0.2, program='long-one')
     )
@@ -143,28 +145,33 @@
     case.assertEqual({200: 20}, dict(await begun))
 
 
-async def test_begun_program_waits_for_room_and_goes_on(case, shop):
-    """A program's own requests meet the limit in the middle of it."""
-    site = await shop(rate=10, burst=0)
+async def test_running_program_is_delayed_at_the_limit(case, limited_site):
+    """A running program must be delayed rather than refused at the limit."""
+    site = await limited_site(rate=10, burst=0)
     found = await send(site, 'i1', 100, 0.08, program='long-one')
     case.assertEqual({200: 100}, dict(found))
-    case.assertLessEqual(find_most(site), 50 + TOLERANCE)
+    case.assertLessEqual(find_max_runs(site), 50 + TOLERANCE)
+
 
+async def test_limit_holds_when_the_coordinator_fails(
+    case, limited_site, network
+):
+    """The next coordinator must not admit a full limit again.
 
-async def test_next_home_does_not_give_the_same_again(case, shop, network):
-    """The instance that counts the requests dies while the limit is used."""
-    site = await shop()
-    [home, *others] = rank_homes()
+    The coordinator fails while the limit is in use.
+    """
+    site = await limited_site()
+    [coordinator, *others] = rank_coordinators()
     sending = asyncio.ensure_future(send_all(site, 100, 0.1, others))
     await asyncio.sleep(2.5)
-    sites.kill(site, network, home)
+    sites.kill(site, network, coordinator)
     found = await sending
     case.assertGreater(found[429], 0)
-    case.assertLessEqual(find_most(site), LIMIT + TOLERANCE)
+    case.assertLessEqual(find_max_runs(site), LIMIT + TOLERANCE)
 
 
 async def _kill_all(site, network):
-    """End all instances at the same moment and start them again."""
+    """Kill all instances at once and start them again."""
     hosts = {name: front.settings.ip for name, front in site.fronts.items()}
     for name in hosts:
         sites.kill(site, network, name)
@@ -174,60 +181,60 @@
     await asyncio.sleep(1.0)
 
 
-async def test_all_instances_killed_do_not_give_the_same_again(
-    case, shop, network
+async def test_limit_holds_when_all_instances_are_killed(
+    case, limited_site, network
 ):
-    """All instances lose power at the same moment and start again."""
-    site = await shop()
+    """Counts must survive the loss of all instances at once."""
+    site = await limited_site()
     await send_all(site, 20, 0.05, program='one')
-    used = find_most(site)
+    used = find_max_runs(site)
     case.assertGreater(used, LIMIT * 0.8)
     await _kill_all(site, network)
     await send_all(site, 100, 0.05)
-    case.assertLessEqual(find_most(site), LIMIT + TOLERANCE)
+    case.assertLessEqual(find_max_runs(site), LIMIT + TOLERANCE)
 
 
-async def test_large_limit_holds_while_nobody_knows_how_it_stands(
+async def test_large_limit_holds_after_all_instances_restart(
     case, site, network
 ):
-    """All instances are back, and each would admit some before it asks."""
+    """Restarted instances must ask before they admit requests."""
     names = [f'i{number}' for number in range(1, 13)]
     await site.start(len(names))
     configure(site, 2, rate=50, burst=50)
     await asyncio.sleep(0.2)
     await send_all(site, 40, 0.02, names, program='one')
-    case.assertGreater(find_most(site), 300)
+    case.assertGreater(find_max_runs(site), 300)
     await _kill_all(site, network)
     await send_all(site, 10, 0.0, names, program='one')
-    case.assertLessEqual(find_most(site), 300 * 1.1 + 2)
+    case.assertLessEqual(find_max_runs(site), 300 * 1.1 + 2)
 
 
-async def test_limit_holds_while_the_store_is_away(case, shop):
-    site = await shop()
+async def test_limit_holds_while_the_store_is_unavailable(case, limited_site):
+    site = await limited_site()
     site.store.mode = store_module.Mode.MUTE
     await asyncio.sleep(3.0)
     found = await send_all(site, 100, 0.1)
-    case.assertLessEqual(find_most(site), LIMIT * 1.1)
+    case.assertLessEqual(find_max_runs(site), LIMIT * 1.1)
     case.assertGreater(found[200], 2 * LIMIT * 0.8)
 
 
-async def test_cut_off_instance_stays_within_its_share(case, shop, network):
-    """A hot organisation sends through an instance that asks nobody."""
-    site = await shop()
-    alone = rank_homes()[-1]
+async def test_cut_off_instance_stays_within_its_share(
+    case, limited_site, network
+):
+    """An instance without contact must not admit a full limit."""
+    site = await limited_site()
+    alone = rank_coordinators()[-1]
     for name in INSTANCES:
         if name != alone:
             network.cut(
                 site.fronts[alone].settings.ip, site.fronts[name].settings.ip
             )
     await send_all(site, 100, 0.1)
-    case.assertLessEqual(find_most(site), LIMIT * 1.25)
+    case.assertLessEqual(find_max_runs(site), LIMIT * 1.25)
 
 
-async def test_instances_that_are_all_cut_off_admit_a_share(
-    case, site, network
-):
-    """Each reaches no other, and would admit a request of a small limit."""
+async def test_isolated_instances_admit_a_share(case, site, network):
+    """Isolated instances must not each admit a request of a small limit."""
     names = [f'i{number}' for number in range(1, 13)]
     await site.start(len(names))
     configure(site, 2, rate=1, burst=5)
@@ -241,8 +248,8 @@
     case.assertLessEqual(found[200], 10)
 
 
-def _ask(front, count=1):
-    """Ask a front, as another instance does; return what it answers."""
+def _request_admission(front, count=1):
+    """Request admission as another instance does; return the responses."""
     limit = quotas.Limit(10.0, 0.0, 3.0, WINDOW)
     question = peer_messages.Usage('red', 'x', limit, 2, asked=('p', ''))
     return [
@@ -254,47 +261,56 @@
     return [await one if asyncio.iscoroutine(one) else one for one in answers]
 
 
-async def test_home_that_stops_sends_others_to_the_next(case, shop):
-    """Two that admit side by side admit too much."""
-    site = await shop()
-    home = site.fronts[rank_homes()[0]]
-    stop = asyncio.ensure_future(home.stop())
+async def test_leaving_coordinator_refers_others_to_the_next(
+    case, limited_site
+):
+    """Two instances that admit concurrently would admit too much."""
+    site = await limited_site()
+    coordinator = site.fronts[rank_coordinators()[0]]
+    stop = asyncio.ensure_future(coordinator.stop())
     await asyncio.sleep(0.1)
-    case.assertEqual([peer_messages.Unable(False)], _ask(home))
+    case.assertEqual(
+        [peer_messages.Unable(False)], _request_admission(coordinator)
+    )
     await stop
 
 
-async def test_home_that_knows_nothing_waits_to_be_told(case, shop):
-    """A new home can't read the row, and nobody has told it yet."""
-    site = await shop()
+async def test_new_coordinator_without_counts_keeps_a_reserve(
+    case, limited_site
+):
+    """A new coordinator must keep a reserve while it has no counts.
+
+    It can't read the row, and no instance has reported yet.
+    """
+    site = await limited_site()
     site.store.mode = store_module.Mode.BUSY
-    home = site.fronts[rank_homes()[0]]
-    answers = await _await_all(_ask(home, 8))
+    coordinator = site.fronts[rank_coordinators()[0]]
+    answers = await _await_all(_request_admission(coordinator, 8))
     admitted = sum(one.refused is None for one in answers)
     case.assertLessEqual(admitted, 3)
     await asyncio.sleep(limit_accounts.SETTLING_SECONDS + 0.1)
-    [answer] = await _await_all(_ask(home))
+    [answer] = await _await_all(_request_admission(coordinator))
     case.assertIsNone(answer.refused)
 
 
-async def test_account_that_was_not_written_is_written_again(case, shop):
-    """The store fails the first write of an account."""
-    site = await shop()
-    home = site.fronts[rank_homes()[0]]
-    await _await_all(_ask(home))
+async def test_account_is_saved_after_a_failed_write(case, limited_site):
+    """An account must be saved again after a failed write."""
+    site = await limited_site()
+    coordinator = site.fronts[rank_coordinators()[0]]
+    await _await_all(_request_admission(coordinator))
     site.store.mode = store_module.Mode.BUSY
-    await _await_all(_ask(home))
+    await _await_all(_request_admission(coordinator))
     await asyncio.sleep(0.5)
     site.store.mode = store_module.Mode.SERVE
     await asyncio.sleep(1.0)
-    await _await_all(_ask(home))
+    await _await_all(_request_admission(coordinator))
     await asyncio.sleep(0.5)
     case.assertTrue(site.store.list_table('limits'))
 
 
-async def test_limit_stays_whole_while_all_instances_stop(case, shop):
-    """All are told to stop, and serve what comes on open connections."""
-    site = await shop()
+async def test_limit_is_available_while_all_instances_stop(case, limited_site):
+    """Leaving instances must still admit calls on open connections."""
+    site = await limited_site()
     stops = [asyncio.ensure_future(f.stop()) for f in site.fronts.values()]
     await asyncio.sleep(0.5)
     found = await send(site, 'i1', LIMIT, 0.05, program='one')
@@ -302,20 +318,20 @@
     await asyncio.gather(*stops)
 
 
-async def test_lower_limit_binds_at_once(case, shop):
-    site = await shop(rate=100, burst=100)
+async def test_lower_limit_takes_effect_at_once(case, limited_site):
+    site = await limited_site(rate=100, burst=100)
     await send_all(site, 20, 0.05)
     configure(site, 3)
     await asyncio.sleep(WINDOW)
     for target in site.targets.values():
         target.runs.clear()
     await send_all(site, 50, 0.1)
-    case.assertLessEqual(find_most(site), LIMIT * 1.1)
+    case.assertLessEqual(find_max_runs(site), LIMIT * 1.1)
 
 
-async def test_requests_that_did_not_run_are_given_back(case, shop):
-    """Turns are refused for their budget and use nothing of the limit."""
-    site = await shop()
+async def test_requests_that_did_not_run_are_not_counted(case, limited_site):
+    """Turns refused for their budget must not count against the limit."""
+    site = await limited_site()
     spent = {'budget': 10, 'most': 40, 'route': 'plan', 'key': 'red-1'}
     for number in range(60):
         answer = await site.turn('i1', f't{number}', **spent)
@@ -326,8 +342,8 @@
     case.assertEqual({200: 30}, dict(found))
 
 
-async def test_refusals_are_counted_by_organisation(case, shop):
-    site = await shop()
+async def test_refusals_are_counted_by_organisation(case, limited_site):
+    site = await limited_site()
     await send_all(site, 30)
     pages = [
         front.measures.render().body.decode() for front in site.fronts.values()
--- a/tests/gateway/test_limits_rolls.py
+++ b/tests/gateway/test_limits_rolls.py
@@ -1,4 +1,4 @@
-"""Tests of a limit while instances are replaced a few at a time."""
+"""Tests of a limit while instances are replaced, cut off or lost."""
 
 import asyncio
 
@@ -8,17 +8,17 @@
 from vanillayoke.scheduling import quotas
 from vanillayoke.testing import fixtures
 
-COUNT = 24
-GROUP = 4
+INSTANCE_COUNT = 24
+GROUP_SIZE = 4
 RATE, BURST = 10, 10
-# In any window of five seconds, and what the platform tolerates beyond.
+# Requests in any window of five seconds, and the platform's tolerance.
 LIMIT = 60
 TOLERANCE = quotas.Tolerance(5.0, 0.1, 20.0)
-MOST = LIMIT * 1.1 + 20
+MAX_RUNS = LIMIT * 1.1 + 20
 
 
 async def _replace(site, names):
-    """Stop some instances as planned, and start them again."""
+    """Stop some instances gracefully and start them again."""
     fronts = [site.fronts.pop(name) for name in names]
     await asyncio.gather(*(front.stop() for front in fronts))
     for front in fronts:
@@ -27,7 +27,7 @@
 
 
 async def _send_through(site, count, pause):
-    """Send calls through instances in turn; some are gone meanwhile."""
+    """Send calls through the instances running at the time."""
     for number in range(count):
         names = sorted(site.fronts)
         name = names[number * 7 % len(names)]
@@ -40,35 +40,38 @@
 
 
 async def test_limit_holds_while_half_of_the_instances_are_replaced(
-    case, site, crowd
+    case, site, large_site
 ):
-    """Homes change each second, and new ones know nothing yet."""
-    names = await crowd()
+    """New coordinators must not admit requests that others have counted.
+
+    The coordinator changes about each second.
+    """
+    names = await large_site()
     sending = asyncio.ensure_future(_send_through(site, 1000, 0.02))
     await asyncio.sleep(3.0)
     rolls = []
-    for first in range(0, COUNT // 2, GROUP):
-        group = names[first : first + GROUP]
+    for first in range(0, INSTANCE_COUNT // 2, GROUP_SIZE):
+        group = names[first : first + GROUP_SIZE]
         rolls.append(asyncio.ensure_future(_replace(site, group)))
         await asyncio.sleep(1.2)
     await sending
     await asyncio.gather(*rolls)
-    most = test_limits.find_most(site)
+    most = test_limits.find_max_runs(site)
     case.assertLessEqual(most, LIMIT * 1.1 + 2)
 
 
-def _rank(names):
-    return test_limits.rank_homes(names=names)
+def _rank_coordinators(names):
+    return test_limits.rank_coordinators(names=names)
 
 
 @fixtures.fixture
-def crowd(site):
-    """Return a site of many instances with a limit, once it is started."""
+def large_site(site):
+    """Return a function that starts a site of many instances with a limit."""
 
     async def start(tolerance=site_module.LIMITS):
-        names = [f'i{number}' for number in range(1, COUNT + 1)]
+        names = [f'i{number}' for number in range(1, INSTANCE_COUNT + 1)]
         site.tolerance = tolerance
-        await site.start(COUNT)
+        await site.start(INSTANCE_COUNT)
         test_limits.configure(site, 2, RATE, BURST)
         await asyncio.sleep(0.2)
         for target in site.targets.values():
@@ -78,12 +81,12 @@
     return start
 
 
-async def test_home_that_was_cut_off_hears_what_it_has_missed(
-    case, site, crowd, network
+async def test_limit_holds_after_coordinators_were_cut_off(
+    case, site, large_site, network
 ):
-    """The best homes are each cut off, and are the homes again behind that."""
-    names = await crowd(TOLERANCE)
-    cut = _rank(names)[:6]
+    """Former coordinators must learn what was admitted while cut off."""
+    names = await large_site(TOLERANCE)
+    cut = _rank_coordinators(names)[:6]
     sending = asyncio.ensure_future(_send_through(site, 800, 0.02))
     await asyncio.sleep(3.0)
     for one in cut:
@@ -96,22 +99,22 @@
     await asyncio.sleep(5.0)
     network.heal()
     await sending
-    most = test_limits.find_most(site)
-    case.assertLessEqual(most, MOST)
+    most = test_limits.find_max_runs(site)
+    case.assertLessEqual(most, MAX_RUNS)
 
 
-async def test_limit_holds_where_the_best_homes_are_lost(
-    case, site, crowd, network
+async def test_limit_holds_when_coordinators_are_killed(
+    case, site, large_site, network
 ):
-    """Four in ten instances are killed, the best homes among them."""
-    names = await crowd(TOLERANCE)
+    """The limit must hold when the highest-ranked instances are killed."""
+    names = await large_site(TOLERANCE)
     sending = asyncio.ensure_future(_send_through(site, 500, 0.02))
     await asyncio.sleep(3.0)
-    for name in _rank(names)[:9]:
+    for name in _rank_coordinators(names)[:9]:
         sites.kill(site, network, name)
     await sending
-    most = test_limits.find_most(site)
-    case.assertLessEqual(most, MOST)
+    most = test_limits.find_max_runs(site)
+    case.assertLessEqual(most, MAX_RUNS)
     case.assertGreater(most, LIMIT * 0.8)
 
 
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -1,8 +1,7 @@
 """Tests of budgets while many instances start, leave or fail at once.
 
-They differ for a moment about who lives and who stays. What each of them was
-granted, handed or has collected of a program's budget must be found wherever
-it lies, and the budget not be split among them.
+Their membership views differ meanwhile. All tokens of a program must be found
+at whichever instance holds them, and a budget must not be split.
 """
 
 import asyncio
@@ -17,17 +16,18 @@
 from vanillayoke.testing import fixtures
 
 BUDGET = 175
-MOST = 100
+MAX_TOKENS = 100
 
 
-async def test_program_keeps_one_home_while_all_instances_leave(case, site):
-    """All instances are told to stop at once while sub-agents run.
+async def test_program_keeps_its_coordinator_while_all_instances_leave(
+    case, site
+):
+    """Leaving instances must not split a budget among them.
 
-    Each reserved for the turns that came to it, so the budget ended in parts
-    that were too small for a turn, and two of five were told "spent".
+    The parts would be too small for a turn.
     """
     await site.start(3)
-    await site.turn('i1', 'first', program='new', budget=320, most=MOST)
+    await site.turn('i1', 'first', program='new', budget=320, most=MAX_TOKENS)
     for front in site.fronts.values():
         front._members.leave()
         front._reservations.is_leaving = True
@@ -39,7 +39,7 @@
                 f'a{number}',
                 program='new',
                 budget=320,
-                most=MOST,
+                most=MAX_TOKENS,
             )
             for number in range(5)
         )
@@ -47,15 +47,15 @@
     case.assertEqual([200] * 5, [answer.status for answer in answers])
 
 
-async def _use_a_part(front, program):
-    """Grant an instance a whole budget, of which one turn uses some."""
-    ledger, until = front._ledger, front._timers.now() + 1.0
-    await ledger.reserve(program, BUDGET, 'first', BUDGET, until)
+async def _use_part_of_budget(front, program):
+    """Grant a whole budget to an instance and use a part of it."""
+    ledger, deadline = front._ledger, front._timers.now() + 1.0
+    await ledger.reserve(program, BUDGET, 'first', BUDGET, deadline)
     ledger.settle(program, 'first', 40)
 
 
 async def _send_turns(site, program):
-    """Send turns that the rest of the budget holds; return the answers."""
+    """Send turns that fit into the rest of the budget; return the answers."""
     return [
         await site.turn(
             name, site.name_request(), program=program, budget=BUDGET, most=60
@@ -64,18 +64,16 @@
     ]
 
 
-async def test_last_one_to_leave_gives_what_it_was_handed(case, site):
-    """All instances are told to stop, one shortly behind the others.
+async def test_last_instance_to_leave_releases_its_tokens(case, site):
+    """Tokens at the last instance to leave must be found.
 
-    A program's sub-agents were told "spent" with half of the budget unused.
-    The home handed its tokens to the one that still stayed, which ranked last
-    for the program. That one was told to stop too, found nobody who stays and
-    kept them, where the next home did not look for them.
+    It ranks last for the program, received the tokens of the coordinator and
+    has no instance to transfer them to.
     """
     program = sites.find_program('i1', 'i2', 'i3', 'i4')
     await site.start(4)
     fronts = list(site.fronts.values())
-    await _use_a_part(fronts[0], program)
+    await _use_part_of_budget(fronts[0], program)
     for leaving in (fronts[:3], fronts[3:]):
         for front in leaving:
             front._members.leave()
@@ -87,34 +85,31 @@
     case.assertEqual([200] * 3, [answer.status for answer in answers])
 
 
-async def test_tokens_that_were_collected_are_found_again(case, site):
-    """Instances that all leave collect a budget from one another.
+async def test_collected_tokens_are_found_again(case, site):
+    """Tokens must be found at an instance that has collected them.
 
-    Each takes itself for the home for a moment. The last one that did had
-    never written the budget's row, ranked low, and kept what it collected:
-    the others were told "spent" while it had room for three turns.
+    It ranks low for the program and has not written the budget's row.
     """
     program = sites.find_program('i1', 'i2', 'i3', 'i4')
     await site.start(4)
-    await _use_a_part(site.fronts['i1'], program)
-    until = site.timers.now() + 1.0
+    await _use_part_of_budget(site.fronts['i1'], program)
+    deadline = site.timers.now() + 1.0
     for name in ('i2', 'i4'):
         holders = site.fronts[name]._reservations._transfers
-        case.assertTrue(await holders.collect(program, until))
+        case.assertTrue(await holders.collect(program, deadline))
     answers = await _send_turns(site, program)
     case.assertEqual([200] * 3, [answer.status for answer in answers])
 
 
-async def test_holder_that_counts_as_failed_is_asked(case, site):
-    """All instances start at once, and one takes another for failed.
+async def test_holder_regarded_as_failed_is_asked(case, site):
+    """A holder regarded as failed must be asked before a budget is spent.
 
-    The other one had started a little later. It held the rest of a budget
-    that the first called spent without having asked it.
+    Instances that start at once regard later ones as failed for some seconds.
     """
     program = sites.find_program('i1', 'i2')
     await site.start(2)
     await asyncio.sleep(reservations_module.JOIN_PERIOD_SECONDS)
-    await _use_a_part(site.fronts['i2'], program)
+    await _use_part_of_budget(site.fronts['i2'], program)
     members = site.fronts['i1']._members
     failed = [one for one in members.list_homes() if one.instance == 'i2']
     members.list_reachable = lambda: []
@@ -126,11 +121,11 @@
     case.assertIs(ledger_module.Outcome.GRANTED, outcome)
 
 
-async def test_all_that_miss_a_home_ask_the_same_next_one(case, site, network):
-    """A program's home loses power under a program with sub-agents.
+async def test_instances_ask_the_same_next_coordinator(case, site, network):
+    """Instances that miss a coordinator must not split the budget.
 
-    Until it counted as failed, each instance reserved for the turns that came
-    to it: the budget ended in parts too small for a turn.
+    Until the coordinator is detected as failed, all have to ask the same next
+    instance.
     """
     names = ['i1', 'i2', 'i3', 'i4', 'i5']
     program = sites.find_program(*names)
@@ -147,14 +142,12 @@
     case.assertEqual(['i2'], [name for name, _ in row[4]])
 
 
-async def test_instances_that_start_together_agree_on_a_home(
+async def test_instances_that_start_together_agree_on_a_coordinator(
     case, site, network
 ):
-    """All instances start again after a loss of power, and callers are there.
+    """Instances that start at once must not each take a grant.
 
-    Before they had heard of one another, each was the home of the programs
-    that came to it. Ten of a large site took four grants of a program within
-    half a second, a quarter of its budget each.
+    Without contact to each other, each would regard itself as the coordinator.
     """
     names = ['i1', 'i2', 'i3', 'i4', 'i5']
     await site.start(5)
@@ -172,11 +165,12 @@
     case.assertEqual(sites.rank('p', names)[:1], [name for name, _ in row[4]])
 
 
-async def test_stop_hands_nothing_to_one_that_never_started(case, site):
-    """An instance stops soon behind its start, beside one that is only listed.
+async def test_stop_transfers_nothing_to_an_instance_that_never_started(
+    case, site
+):
+    """Tokens must not be transferred to an instance that never started.
 
-    That one ranked best for a program, was not there, and took its tokens
-    with it: the program was told "spent" at its next turn.
+    It is listed in the store and ranks highest for the program.
     """
     program = sites.find_program('i9', 'i1', 'i2')
     await site.start(2)
@@ -191,7 +185,7 @@
     site.fronts['i1']._members.put_row('i9', msgspec.json.encode(row))
     homes = site.fronts['i1']._members.list_homes()
     case.assertIn('i9', [one.instance for one in homes])
-    await _use_a_part(site.fronts['i1'], program)
+    await _use_part_of_budget(site.fronts['i1'], program)
     await site.fronts['i1']._reservations.hand_over()
     case.assertEqual(BUDGET - 40, site.fronts['i2']._ledger.withdraw(program))
 
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -1,8 +1,7 @@
-"""Tests of grants that nobody can use any more: they must not end a program.
+"""Tests that unused grants of other instances do not end a program.
 
-What an instance is granted of a program's budget counts as granted in the
-store, whether it is used or not. A budget that holds one turn and three
-quarters of another shows soonest what is lost on the way.
+Tokens granted to an instance count as granted in the store even if unused.
+The budget here is less than two turns, so that any lost tokens show.
 """
 
 import asyncio
@@ -17,7 +16,7 @@
 from vanillayoke.testing import fixtures
 
 BUDGET = 175
-MOST = 100
+MAX_TOKENS = 100
 
 
 def _turn(site, instance, request, program):
@@ -26,13 +25,13 @@
         request,
         program=program,
         budget=BUDGET,
-        most=MOST,
+        most=MAX_TOKENS,
         previous='before',
     )
 
 
-async def _lose_all(site, network):
-    """Let all instances lose power, after a turn that is kept."""
+async def _kill_all(site, network):
+    """Kill all instances after a turn that is stored."""
     await site.start(1)
     answer = await site.turn('i1', 'before', program='old')
     sites.kill(site, network, 'i1')
@@ -40,30 +39,25 @@
     return answer
 
 
-async def _set_engines(site, are_leaving):
-    state = 'draining' if are_leaving else 'ready'
+async def _set_engine_states(site, are_draining):
+    state = 'draining' if are_draining else 'ready'
     for name in ('m1', 'm2'):
         host = 10 + int(name[1:])
         site.register(name, f'10.8.0.{host - 10}:8080', state)
     await asyncio.sleep(0.2)
 
 
-async def test_new_program_goes_on_after_its_home_changed_often(
+async def test_program_continues_after_its_coordinator_changed_often(
     case, site, network
 ):
-    """A conversation is picked up again after all instances lost power.
-
-    Callers saw each try answered "budget spent" for as long as they came
-    back, though not a token had been generated. Instances came back one by
-    one while no engine took work yet: each try was reserved at the home of
-    its moment and then refused. Instances that join ask the best of the
-    others for what it has; where two had joined between two tries that was
-    one that had never heard of the program, and the grants before stayed
-    where they were, until the budget had no room for a further one.
+    """Grants left at former coordinators must be found by later ones.
+
+    Instances join between a program's attempts, each of which is reserved
+    and then refused because no engine accepts work.
     """
     program = sites.find_program('i6', 'i5', 'i4', 'i3', 'i2')
-    await _lose_all(site, network)
-    await _set_engines(site, are_leaving=True)
+    await _kill_all(site, network)
+    await _set_engine_states(site, are_draining=True)
     await site.add_front('i2')
     await asyncio.sleep(1.0)
     answer = await _turn(site, 'i2', 'a1', program)
@@ -74,145 +68,148 @@
         await asyncio.sleep(2.0)
         answer = await _turn(site, joining[0], f'a{number}', program)
         case.assertEqual(503, answer.status)
-    await _set_engines(site, are_leaving=False)
+    await _set_engine_states(site, are_draining=False)
     answer = await _turn(site, 'i5', 'a4', program)
     case.assertEqual(200, answer.status)
 
 
-async def test_kept_program_is_not_charged_for_credit(case, site, network):
-    """A store that was slow at the start costs a new program its budget.
+async def test_stored_program_is_not_charged_for_credit(case, site, network):
+    """A program whose turns are stored must not be charged for credit.
 
-    Homes that see trouble of the store count what their predecessor may have
-    given on credit. Turns that are kept never get any, yet each new home
-    charged them anew. Seen in a whole play of a large deployment: programs
-    behind a loss of all power were told "spent" for ten seconds, by rows of
-    four turns of which none had run.
+    Its turns never get credit, so that slow responses of the store must not
+    reduce its budget at each new coordinator.
     """
     program = sites.find_program('i3', 'i2')
-    await _lose_all(site, network)
+    await _kill_all(site, network)
     site.store.delay = 0.2
     await site.add_front('i2')
     await asyncio.sleep(2.0)
     site.store.delay = 0.004
-    await _set_engines(site, are_leaving=True)
+    await _set_engine_states(site, are_draining=True)
     answer = await _turn(site, 'i2', 'a1', program)
     case.assertEqual(503, answer.status)
-    # What the first home has is out of reach: it loses power.
+    # The tokens of the first coordinator are lost with it.
     site.store.delay = 0.2
     await site.add_front('i3')
     await asyncio.sleep(2.0)
     sites.kill(site, network, 'i2')
     await asyncio.sleep(2.0)
     site.store.delay = 0.004
-    await _set_engines(site, are_leaving=False)
+    await _set_engine_states(site, are_draining=False)
     answer = await _turn(site, 'i3', 'a2', program)
     case.assertEqual(200, answer.status)
 
 
-async def test_turn_given_up_at_its_home_is_settled(case, site):
-    """The answer of a home is lost, or the caller leaves before it comes.
+async def test_abandoned_reservation_is_settled(case, site):
+    """A reservation whose caller has left must be released.
 
-    The home had reserved for a turn that never ran, and kept that for as
-    long as it lived: the program's next turn was refused for good.
+    Otherwise the coordinator would refuse the program's next turns.
     """
     await site.start(3)
     program = 'new'
-    home = sites.rank(program, site.fronts)[0]
-    other = next(name for name in site.fronts if name != home)
+    coordinator = sites.rank(program, site.fronts)[0]
+    other = next(name for name in site.fronts if name != coordinator)
     site.store.delay = 0.3
     front = site.fronts[other]
-    question = peer_messages.Reserve(program, MOST, 'lost', MOST)
-    until = site.timers.now() + 0.1
-    task = asyncio.ensure_future(front._reservations.reserve(question, until))
+    question = peer_messages.Reserve(program, MAX_TOKENS, 'lost', MAX_TOKENS)
+    deadline = site.timers.now() + 0.1
+    task = asyncio.ensure_future(
+        front._reservations.reserve(question, deadline)
+    )
     await asyncio.sleep(0.15)
     task.cancel()
     await asyncio.sleep(2.0)
     site.store.delay = 0.004
     answer = await site.turn(
-        other, 'a1', program=program, budget=MOST, most=MOST
+        other, 'a1', program=program, budget=MAX_TOKENS, most=MAX_TOKENS
     )
     case.assertEqual(200, answer.status)
 
 
-async def test_grant_of_a_caller_that_left_is_not_lost(case, site):
-    """The caller leaves while its grant is being written.
+async def test_grant_of_a_cancelled_caller_is_not_lost(case, site):
+    """A grant must be usable although its caller left during the write.
 
-    The store took the row and its reply was lost: the row said that all was
-    granted, and no instance had it.
+    The store applies the write and its response is lost.
     """
     await site.start(1)
     front = site.fronts['i1']
-    question = peer_messages.Reserve('new', MOST, 'lost', MOST)
+    question = peer_messages.Reserve('new', MAX_TOKENS, 'lost', MAX_TOKENS)
     site.store.lost_replies = 1
-    until = site.timers.now() + 2.0
-    task = asyncio.ensure_future(front._reservations.reserve(question, until))
-    # The row is written by then, and the next try is not made yet.
+    deadline = site.timers.now() + 2.0
+    task = asyncio.ensure_future(
+        front._reservations.reserve(question, deadline)
+    )
+    # The row is written by then, and the write is not retried yet.
     await asyncio.sleep(0.015)
     case.assertIn('new', site.store.list_table('budgets'))
     case.assertFalse(task.done())
     task.cancel()
     await asyncio.sleep(2.0)
-    answer = await site.turn('i1', 'a1', program='new', budget=MOST, most=MOST)
+    answer = await site.turn(
+        'i1', 'a1', program='new', budget=MAX_TOKENS, most=MAX_TOKENS
+    )
     case.assertEqual(200, answer.status)
 
 
-async def test_budget_is_not_said_spent_while_a_holder_is_silent(case, site):
-    """What is left of a budget lies at an instance that does not answer.
+async def test_budget_is_not_spent_while_a_holder_is_unresponsive(case, site):
+    """A budget must not be reported spent while a holder is unresponsive.
 
-    The instance still counts as a member. "Spent" would end the program for
-    good; the caller is told to come again, and served once it answers.
+    Reporting it spent would end the program; the caller has to retry instead
+    and is served once the holder responds.
     """
     program = sites.find_program('i2', 'i1')
     await site.start(2)
-    await _set_engines(site, are_leaving=True)
+    await _set_engine_states(site, are_draining=True)
     answer = await site.turn(
-        'i2', 'a1', program=program, budget=BUDGET, most=MOST
+        'i2', 'a1', program=program, budget=BUDGET, most=MAX_TOKENS
     )
     case.assertEqual(503, answer.status)
     sender = site.fronts['i2']._sender
     receive = sender._receive
 
-    def hear_members_only(data, address):
+    def receive_membership_only(data, address):
         if data[:1] == peers.MEMBERSHIP:
             receive(data, address)
 
-    sender._receive = hear_members_only
+    sender._receive = receive_membership_only
     stand_in = site.fronts['i1']._reservations
-    question = peer_messages.Reserve(program, BUDGET, 'under-way', MOST)
+    question = peer_messages.Reserve(program, BUDGET, 'under-way', MAX_TOKENS)
     await stand_in.reserve(question, site.timers.now() + 1.0)
-    await _set_engines(site, are_leaving=False)
+    await _set_engine_states(site, are_draining=False)
     answer = await site.turn(
-        'i1', 'a2', program=program, budget=BUDGET, most=MOST
+        'i1', 'a2', program=program, budget=BUDGET, most=MAX_TOKENS
     )
     case.assertEqual(503, answer.status)
     sender._receive = receive
     answer = await site.turn(
-        'i1', 'a3', program=program, budget=BUDGET, most=MOST
+        'i1', 'a3', program=program, budget=BUDGET, most=MAX_TOKENS
     )
     case.assertEqual(200, answer.status)
 
 
-async def test_turn_waits_for_what_another_one_has_reserved(case, site):
-    """Two sub-agents of a program near the end of its budget ask at once.
+async def test_turn_waits_for_reserved_tokens(case, site):
+    """A turn must wait for tokens that a concurrent turn may not use.
 
-    The first reserves the most that a turn may make, and makes less than
-    half of it. The second was told "spent", though it still fits.
+    Two turns of a program do not fit into the budget by their maximum, but by
+    the tokens that they generate.
     """
     await site.start(2)
     answers = await asyncio.gather(
         *(
-            site.turn('i1', f'a{number}', program='new', budget=150, most=MOST)
+            site.turn(
+                'i1', f'a{number}', program='new', budget=150, most=MAX_TOKENS
+            )
             for number in range(2)
         )
     )
     case.assertEqual([200, 200], [answer.status for answer in answers])
 
 
-async def test_instances_that_leave_give_what_they_hold(case, site):
-    """All instances are told to stop at once, in the middle of a program.
+async def test_leaving_instances_share_their_tokens(case, site):
+    """Instances that are all leaving must share a program's tokens.
 
-    None of them is a home any more, so each reserves for the turns that come
-    to it. The program was told "spent" with a third of its budget used.
+    Otherwise the program would be refused as spent with most of its budget
+    unused.
     """
     await site.start(3)
     for front in list(site.fronts.values()):
@@ -222,23 +219,24 @@
     statuses = []
     for number, instance in enumerate(('i1', 'i2', 'i3', 'i3')):
         answer = await site.turn(
-            instance, f'a{number}', program='new', budget=400, most=MOST
+            instance, f'a{number}', program='new', budget=400, most=MAX_TOKENS
         )
         statuses.append(answer.status)
         await sites.settle()
     case.assertEqual([200] * 4, statuses)
 
 
-async def test_silent_holder_counts_also_beside_one_that_gave(case, site):
-    """One instance hands over too little, another one does not answer.
+async def test_unresponsive_holder_counts_beside_another_one(case, site):
+    """An unresponsive holder must count although another one gave tokens.
 
-    What the second holds is still open, so the budget is not spent.
+    The tokens of the unresponsive one are unknown, so the budget must not be
+    reported spent.
     """
     program = sites.find_program('i3', 'i2', 'i1')
     await site.start(3)
     for name in ('i2', 'i3'):
         site.fronts[name]._ledger.deposit(
-            program, 10 if name == 'i3' else MOST
+            program, 10 if name == 'i3' else MAX_TOKENS
         )
     sender = site.fronts['i2']._sender
     receive = sender._receive
@@ -246,19 +244,19 @@
         receive(data, address) if data[:1] == peers.MEMBERSHIP else None
     )
     collect = site.fronts['i1']._reservations._transfers.collect
-    until = site.timers.now() + 2.0
-    case.assertTrue(await collect(program, until))
+    deadline = site.timers.now() + 2.0
+    case.assertTrue(await collect(program, deadline))
     with case.assertRaises(store_client.StoreRefusedError):
-        await collect(program, until)
+        await collect(program, deadline)
 
 
-async def test_tokens_that_come_late_are_taken(case, site):
-    """A holder stands still for a second before it hands over.
+async def test_late_tokens_are_accepted(case, site):
+    """Tokens that arrive after the timeout must not be lost.
 
-    It has given the tokens up by then; nobody else would ever have them.
+    The holder has withdrawn them already.
     """
     await site.start(2)
-    site.fronts['i2']._ledger.deposit('new', MOST)
+    site.fronts['i2']._ledger.deposit('new', MAX_TOKENS)
     sender = site.fronts['i2']._sender
     receive, late = sender._receive, []
     sender._receive = lambda data, address: (
@@ -273,11 +271,11 @@
     for data, address in late:
         receive(data, address)
     await asyncio.sleep(0.5)
-    case.assertEqual(MOST, site.fronts['i1']._ledger.withdraw('new'))
+    case.assertEqual(MAX_TOKENS, site.fronts['i1']._ledger.withdraw('new'))
 
 
-async def test_many_that_ask_at_once_search_once(case, site):
-    """A program that loops asks fifty times while one holder is silent."""
+async def test_concurrent_turns_share_a_search(case, site):
+    """Concurrent turns must not each query an unresponsive holder."""
     await site.start(2)
     asked = []
     sender = site.fronts['i2']._sender
@@ -291,42 +289,43 @@
 
     sender._receive = count
     collect = site.fronts['i1']._reservations._transfers.collect
-    until = site.timers.now() + 2.0
+    deadline = site.timers.now() + 2.0
     await asyncio.gather(
-        *(collect('new', until) for _ in range(50)), return_exceptions=True
+        *(collect('new', deadline) for _ in range(50)), return_exceptions=True
     )
     case.assertLessEqual(len(asked), 10)
 
 
-async def test_grant_in_doubt_is_found_under_another_ones_row(case, site):
-    """The store takes a holder's row, its reply is lost, another one writes.
+async def test_unconfirmed_grant_is_found_after_another_write(case, site):
+    """An unconfirmed grant must be found after another instance's write.
 
-    The row names the last writer of each holder, so this one finds its grant
-    out when it is asked for what it holds.
+    The row names the last write of each holder, by which the holder confirms
+    its grant when its tokens are requested.
     """
     program = sites.find_program('i1', 'i2')
     await site.start(2)
     ledger = site.fronts['i1']._ledger
     site.store.lost_replies = 1
-    until = site.timers.now() + 0.02
+    deadline = site.timers.now() + 0.02
     with case.assertRaises(store_client.StoreError):
-        await ledger.reserve(program, BUDGET, 'a', MOST, until)
+        await ledger.reserve(program, BUDGET, 'a', MAX_TOKENS, deadline)
     other = site.fronts['i2']._ledger
-    until = site.timers.now() + 1.0
-    await other.reserve(program, BUDGET, 'b', MOST, until, MOST)
+    deadline = site.timers.now() + 1.0
+    await other.reserve(program, BUDGET, 'b', MAX_TOKENS, deadline, MAX_TOKENS)
     collect = site.fronts['i2']._reservations._transfers.collect
     case.assertTrue(await collect(program, site.timers.now() + 1.0))
-    case.assertEqual(MOST, other.withdraw(program))
+    case.assertEqual(MAX_TOKENS, other.withdraw(program))
 
 
-async def test_tokens_on_their_way_are_found(case, site):
-    """An instance that stops hands its tokens to the next home just now.
+async def test_tokens_in_transit_are_found(case, site):
+    """Tokens in transit must be found by a search.
 
-    They are at neither of the two when a third one asks both.
+    A stopping instance has withdrawn them and the receiver does not have them
+    yet when a third instance asks both.
     """
     await site.start(3)
     program = sites.find_program('i1', 'i2', 'i3')
-    site.fronts['i1']._ledger.deposit(program, MOST)
+    site.fronts['i1']._ledger.deposit(program, MAX_TOKENS)
     tokens = site.fronts['i1']._ledger.withdraw(program)
     collect = site.fronts['i3']._reservations._transfers.collect
     found = asyncio.ensure_future(collect(program, site.timers.now() + 2.0))
@@ -335,84 +334,84 @@
     case.assertTrue(await found)
 
 
-async def test_tokens_that_were_taken_back_are_searched_again(case, site):
-    """Two homes of one program collect its budget from each other.
+async def test_tokens_collected_by_another_are_searched_again(case, site):
+    """Tokens lost to another collector must be searched for again.
 
-    The first found some, lost them to the second one in the same moment and
-    took its own search for one that had found nothing: "spent" was said a
-    few milliseconds later, with all tokens at live instances.
+    Two coordinators of one program collect its tokens from each other; neither
+    may report the budget spent because of an outdated search.
     """
     await site.start(2)
     ledgers = [site.fronts[name]._ledger for name in ('i1', 'i2')]
     collect = site.fronts['i1']._reservations._transfers.collect
-    until = site.timers.now() + 2.0
+    deadline = site.timers.now() + 2.0
     for _ in range(2):
-        ledgers[1].deposit('new', MOST)
-        case.assertTrue(await collect('new', until))
-        case.assertEqual(MOST, ledgers[0].withdraw('new'))
+        ledgers[1].deposit('new', MAX_TOKENS)
+        case.assertTrue(await collect('new', deadline))
+        case.assertEqual(MAX_TOKENS, ledgers[0].withdraw('new'))
 
 
-async def test_two_that_lack_a_little_do_not_take_it_from_each_other(
-    case, site
-):
-    """Two instances hold a part of what each of them needs, at once.
+async def test_two_coordinators_do_not_collect_endlessly(case, site):
+    """Two coordinators must not take tokens from each other endlessly.
 
-    Both collect, and both would go on as long as their callers wait.
+    Each of them holds a part of the tokens that both need.
     """
     program = sites.find_program('i1', 'i2')
     await site.start(2)
-    homes = [site.fronts[name]._reservations for name in ('i1', 'i2')]
+    reservations = [site.fronts[name]._reservations for name in ('i1', 'i2')]
     ledgers = [site.fronts[name]._ledger for name in ('i1', 'i2')]
-    until = site.timers.now() + 5.0
+    deadline = site.timers.now() + 5.0
     for ledger, turn in zip(ledgers, 'xy', strict=True):
-        await ledger.reserve(program, MOST, turn, MOST, until, MOST)
-        ledger.settle(program, turn, MOST)
-        ledger.deposit(program, MOST * 6 // 10)
+        await ledger.reserve(
+            program, MAX_TOKENS, turn, MAX_TOKENS, deadline, MAX_TOKENS
+        )
+        ledger.settle(program, turn, MAX_TOKENS)
+        ledger.deposit(program, MAX_TOKENS * 6 // 10)
     calls = site.fronts['i1']._peers._number
     questions = [
-        peer_messages.Reserve(program, MOST, turn, MOST) for turn in ('p', 'q')
+        peer_messages.Reserve(program, MAX_TOKENS, turn, MAX_TOKENS)
+        for turn in ('p', 'q')
     ]
     answers = await asyncio.gather(
         *(
-            one._reserve_from_store(question, until)
-            for one, question in zip(homes, questions, strict=True)
+            one._reserve_from_store(question, deadline)
+            for one, question in zip(reservations, questions, strict=True)
         ),
         return_exceptions=True,
     )
-    case.assertLess(site.timers.now(), until - 2.0)
+    case.assertLess(site.timers.now(), deadline - 2.0)
     case.assertLess(site.fronts['i1']._peers._number - calls, 30)
     granted = answers.count(ledger_module.Outcome.GRANTED)
     case.assertLessEqual(granted, 1)
 
 
-async def test_late_copy_of_a_question_reserves_nothing(case, site):
-    """The question to reserve comes again when its turn is over.
+async def test_duplicate_request_reserves_nothing(case, site):
+    """A duplicate request for a settled turn must not reserve again.
 
-    Nobody would settle the second reservation.
+    The second reservation would never be settled.
     """
     await site.start(1)
-    homes = site.fronts['i1']._reservations
-    site.fronts['i1']._ledger.deposit('new', MOST)
-    question = peer_messages.Reserve('new', MOST, 'a', MOST)
+    reservations = site.fronts['i1']._reservations
+    site.fronts['i1']._ledger.deposit('new', MAX_TOKENS)
+    question = peer_messages.Reserve('new', MAX_TOKENS, 'a', MAX_TOKENS)
     case.assertIsInstance(
-        homes.handle_request(question), peer_messages.Granted
+        reservations.handle_request(question), peer_messages.Granted
     )
-    homes.handle_request(peer_messages.Settle('new', 'a', 0))
+    reservations.handle_request(peer_messages.Settle('new', 'a', 0))
     case.assertEqual(
-        peer_messages.Unable(False), homes.handle_request(question)
+        peer_messages.Unable(False), reservations.handle_request(question)
     )
-    case.assertEqual(MOST, site.fronts['i1']._ledger.withdraw('new'))
+    case.assertEqual(MAX_TOKENS, site.fronts['i1']._ledger.withdraw('new'))
 
 
-async def test_returned_tokens_are_returned_once(case, site):
-    """An instance gives back at its stop, and the reply is lost.
+async def test_tokens_are_returned_only_once(case, site):
+    """Tokens must not be returned twice if a response is lost.
 
-    Another one is granted some meanwhile; the row must not lose those.
+    Another instance is granted tokens meanwhile; these must stay counted.
     """
     await site.start(1)
     ledger = site.fronts['i1']._ledger
-    until = site.timers.now() + 1.0
-    await ledger.reserve('new', 400, 'a', MOST, until)
+    deadline = site.timers.now() + 1.0
+    await ledger.reserve('new', 400, 'a', MAX_TOKENS, deadline)
     ledger.settle('new', 'a', 0)
     site.store.lost_replies = 1
     back = asyncio.ensure_future(ledger.return_grants(site.timers.now() + 3.0))
@@ -421,10 +420,10 @@
         await asyncio.sleep(0.001)
     await site.add_front('i2')
     other = site.fronts['i2']._ledger
-    await other.reserve('new', 400, 'b', MOST, site.timers.now() + 1.0)
+    await other.reserve('new', 400, 'b', MAX_TOKENS, site.timers.now() + 1.0)
     await back
     row = msgspec.msgpack.decode(site.store.list_table('budgets')['new'])
-    case.assertGreaterEqual(row[1], MOST)
+    case.assertGreaterEqual(row[1], MAX_TOKENS)
 
 
 load_tests = fixtures.adapt(__name__, [sites])
--- a/tests/gateway/test_sweeping.py
+++ b/tests/gateway/test_sweeping.py
@@ -1,4 +1,4 @@
-"""Tests of removing old rows."""
+"""Tests of the removal of expired rows."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from vanillayoke.testing import fixtures
 
 
-async def test_old_turns_and_budgets_are_removed(case, site):
-    """Rows of ended programs would fill the store for ever."""
+async def test_expired_turns_and_budgets_are_removed(case, site):
+    """Rows of ended programs must not accumulate in the store."""
     site.timers._read_wall = site.timers.now
     await site.start()
     for number in range(5):
@@ -19,7 +19,7 @@
     case.assertEqual({}, site.store.list_table('budgets'))
 
 
-async def test_turns_that_may_be_continued_stay(case, site):
+async def test_turns_within_retention_are_kept(case, site):
     site.timers._read_wall = site.timers.now
     await site.start()
     await site.turn('i1', 'a')
--- a/tests/programs/test_grants.py
+++ b/tests/programs/test_grants.py
@@ -7,8 +7,8 @@
 from vanillayoke.testing import fixtures
 
 
-def test_grants_never_add_up_to_more_than_the_budget(case):
-    """Any instances ask for any needs in any order."""
+def test_grants_never_exceed_the_budget(case):
+    """The sum of grants must not exceed the budget, for any sequence."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(
@@ -33,8 +33,8 @@
     check()
 
 
-def test_purse_never_lets_more_generate_than_it_was_given(case):
-    """Turns are reserved and settled in any order, some twice."""
+def test_allotment_never_exceeds_its_tokens(case):
+    """Reservations and settlements in any order, some of them repeated."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(
@@ -50,14 +50,14 @@
     def check(steps):
         allotment = grants.Allotment()
         allotment.add(1000)
-        under_way = {}
+        in_progress = {}
         used = 0
         for step, turn, tokens in steps:
             name = f't{turn}'
             if step == 'r' and allotment.reserve(name, tokens):
-                under_way.setdefault(name, tokens)
+                in_progress.setdefault(name, tokens)
             elif step == 's':
-                spent = min(tokens, under_way.pop(name, 0))
+                spent = min(tokens, in_progress.pop(name, 0))
                 allotment.settle(name, spent)
                 used += spent
         case.assertLessEqual(used + allotment.reserved + allotment.free, 1000)
@@ -72,11 +72,11 @@
     case.assertEqual(60, grants.plan_grant(row, 100, 60, 'c', 0.0).tokens)
 
 
-def test_credit_that_is_lost_never_breaks_a_budget(case):
-    """A home gives credit, may grant, and dies; the next one charges it.
+def test_lost_credit_never_exceeds_the_budget(case):
+    """Grants and credit together must not exceed the budget and one turn.
 
-    Whatever the order, all tokens ever given add up to the budget and one
-    turn at the most.
+    A coordinator grants tokens, gives credit and fails; the next one charges
+    the maximum credit.
     """
 
     @hypothesis.settings(derandomize=True, deadline=None)
@@ -90,7 +90,7 @@
         row, owed, given, extra = None, 0, 0, 0
         for number, is_store in enumerate(has_store):
             if number == dies_after:
-                # The next home charges credit if the store was away.
+                # The next coordinator charges credit after an outage.
                 extra, owed = most, 0
                 if not all(has_store[:number]):
                     owed = grants.compute_charge(budget, most)
