--- a/libs/gateway/vanillayoke/gateway/background.py
+++ b/libs/gateway/vanillayoke/gateway/background.py
@@ -7,14 +7,14 @@
 
 
 def start(
-    work: typing.Coroutine[typing.Any, typing.Any, _Result],
+    coroutine: typing.Coroutine[typing.Any, typing.Any, _Result],
     spawn: typing.Callable[[typing.Coroutine], None],
 ) -> asyncio.Future[_Result]:
     """Start a task that runs to completion even if nobody awaits it.
 
     ``spawn`` holds references to tasks and logs their errors.
     """
-    task = asyncio.ensure_future(work)
+    task = asyncio.ensure_future(coroutine)
     spawn(_wait_for(task))
     return task
 
--- a/libs/gateway/vanillayoke/gateway/budget_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/budget_accounts.py
@@ -59,7 +59,8 @@
         self.is_current = False
         self.is_spent = False
         self.used_at = 0.0
-        # Tokens given on credit that are not yet recorded in the row.
+        # Tokens given on credit or charged for it, not yet recorded in the
+        # row.
         self.owed = 0
         self.budget = 0
         # Tokens received from the store and from other instances.
@@ -83,15 +84,15 @@
         Unconfirmed writes expect the same version, so at most one of them
         has taken effect.
         """
-        unconfirmed = (added.tokens for added in self.unconfirmed.values())
+        unconfirmed = (effect.tokens for effect in self.unconfirmed.values())
         return self.granted + max(unconfirmed, default=0)
 
     def confirm(self, write_id: str) -> None:
         """Apply the effect of one of this instance's writes, once."""
-        added = self.unconfirmed.pop(write_id, NO_EFFECT)
-        self.owed -= added.owed
-        self.received += added.tokens
-        self.allotment.add(added.tokens)
+        effect = self.unconfirmed.pop(write_id, NO_EFFECT)
+        self.owed -= effect.owed
+        self.received += effect.tokens
+        self.allotment.add(effect.tokens)
 
     def update_row(
         self, instance: str, row: grants.BudgetRow | None, version: int
--- a/libs/gateway/vanillayoke/gateway/coordinator_client.py
+++ b/libs/gateway/vanillayoke/gateway/coordinator_client.py
@@ -9,9 +9,9 @@
 
 # The second instance in rank is asked if the first does not respond or is
 # leaving.
-MOST_ASKED = 2
+MAX_COORDINATORS = 2
 # How long an instance that did not respond is skipped.
-SILENCE = 1.0
+UNRESPONSIVE_SECONDS = 1.0
 
 
 class CoordinatorClient:
@@ -28,7 +28,7 @@
         self._spawn = spawn
         self._peers: peers_module.Peers | None = None
         # When a request last timed out, by instance.
-        self._silent: dict[str, float] = {}
+        self._unresponsive: dict[str, float] = {}
 
     def set_peers(self, peers: peers_module.Peers) -> None:
         """Set the connection to other instances."""
@@ -42,21 +42,23 @@
         small for a turn. If all instances are leaving, the one with the
         highest score remains the coordinator.
         """
-        members = (
+        eligible = (
             self._membership.list_eligible()
             or self._membership.list_reachable()
         )
         self.prune()
-        if self._silent:
-            members = [
-                one for one in members if one.instance not in self._silent
+        if self._unresponsive:
+            eligible = [
+                one
+                for one in eligible
+                if one.instance not in self._unresponsive
             ]
-        return rendezvous.list_highest(program, members, MOST_ASKED)
+        return rendezvous.list_highest(program, eligible, MAX_COORDINATORS)
 
     async def reserve(
         self,
-        home: rendezvous.Peer,
-        question: peer_messages.Reserve,
+        coordinator: rendezvous.Peer,
+        request: peer_messages.Reserve,
         deadline: float,
     ) -> peer_messages.Answer | None:
         """Request a reservation; settle it if no final response arrives.
@@ -64,32 +66,38 @@
         The coordinator may have reserved or may do so later, and nothing else
         would settle a turn that runs elsewhere or not at all.
         """
-        answer = peer_messages.Pending()
+        response = peer_messages.Pending()
         try:
-            answer = await self._peers.ask(home.address, question, deadline)
-            if answer is None:
-                self._silent[home.instance] = self._timers.now()
+            response = await self._peers.ask(
+                coordinator.address, request, deadline
+            )
+            if response is None:
+                self._unresponsive[coordinator.instance] = self._timers.now()
         finally:
-            if answer in (None, peer_messages.Pending()):
-                given_up = peer_messages.Settle(
-                    question.program, question.turn, 0, question.session
+            if response in (None, peer_messages.Pending()):
+                settlement = peer_messages.Settle(
+                    request.program, request.turn, 0, request.session
                 )
-                self._spawn(self.settle(home.address, given_up))
-        return answer
+                self._spawn(self.settle(coordinator.address, settlement))
+        return response
 
     async def settle(
-        self, address: str, question: peer_messages.Settle
+        self, address: str, request: peer_messages.Settle
     ) -> None:
         """Notify the instance that made a reservation that its turn ended."""
         await self._peers.ask(
             address,
-            question,
+            request,
             self._timers.now(),
             peers_module.LASTING_REPEATS,
         )
 
     def prune(self) -> None:
         """Stop skipping instances whose timeout has passed."""
-        limit = self._timers.now() - SILENCE
-        for name in [one for one, at in self._silent.items() if at <= limit]:
-            del self._silent[name]
+        cutoff = self._timers.now() - UNRESPONSIVE_SECONDS
+        for name in [
+            one
+            for one, failed_at in self._unresponsive.items()
+            if failed_at <= cutoff
+        ]:
+            del self._unresponsive[name]
--- a/libs/gateway/vanillayoke/gateway/exclusivity.py
+++ b/libs/gateway/vanillayoke/gateway/exclusivity.py
@@ -12,13 +12,13 @@
 from vanillayoke.gateway import rendezvous
 
 # Changes older than this affect no running program.
-MEMORY = 120.0
+RETENTION_SECONDS = 120.0
 # How long after a failure of the store a former coordinator may have left
 # unrecorded credit: it covers the detection of that coordinator's failure.
-TROUBLE_MEMORY = 8.0
+FAILURE_RETENTION_SECONDS = 8.0
 # After a longer lag of the event loop, requests of other instances may have
 # timed out, and these reserve elsewhere.
-LONGEST_LAG = 0.1
+MAX_LAG_SECONDS = 0.1
 # The time in which instances that start together discover one another.
 SETTLING_SECONDS = 3.0
 
@@ -37,16 +37,16 @@
         self._since = float('-inf') if is_first_start else now
         # Failures of the store before the start need not be known: the former
         # coordinators recorded their credit as soon as the store recovered.
-        self._trouble_at = float('-inf')
+        self._store_failed_at = float('-inf')
         self._members: frozenset[str] = frozenset()
         self._removed: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
         self._ticked_at: float | None = None
         # The wall time minus the monotonic time, at the last tick.
-        self._wall_ahead: float | None = None
+        self._wall_offset: float | None = None
         self._incarnation: int | None = None
-        self._has_begun = False
+        self._is_active = False
         self._joined_at = float('inf')
 
     def record_program(self) -> None:
@@ -55,7 +55,7 @@
         Instances that start together regard one another as failed until all
         run; before the first program that has no consequences.
         """
-        self._has_begun = True
+        self._is_active = True
 
     def record_joined(self, now: float) -> None:
         """Record that this instance has started to serve."""
@@ -63,15 +63,15 @@
 
     def record_store_failure(self, now: float) -> None:
         """Record that a call of the store failed or was slow."""
-        self._trouble_at = now
+        self._store_failed_at = now
 
     def had_recent_store_failure(self, now: float) -> bool:
         """Return whether a coordinator may recently have given credit."""
-        return now - self._trouble_at < TROUBLE_MEMORY
+        return now - self._store_failed_at < FAILURE_RETENTION_SECONDS
 
     def record_interruption(self, now: float) -> None:
         """Record that others may have replaced this instance until now."""
-        if self._has_begun:
+        if self._is_active:
             self._since = now
 
     def tick(self, now: float, wall: float, interval: float) -> None:
@@ -81,17 +81,25 @@
         suspended; the monotonic clock does not. A step of the wall clock can
         only cause a needless interruption.
         """
-        self._check_wall(now, wall, interval)
-        before, self._ticked_at = self._ticked_at, now
-        self._wall_ahead = wall - now
+        self._check_wall_clock(now, wall, interval)
+        previous_tick, self._ticked_at = self._ticked_at, now
+        self._wall_offset = wall - now
         if now - self._joined_at > SETTLING_SECONDS:
-            self._has_begun = True
-        if before is not None and now - before > interval + LONGEST_LAG:
+            self._is_active = True
+        if (
+            previous_tick is not None
+            and now - previous_tick > interval + MAX_LAG_SECONDS
+        ):
             self.record_interruption(now)
 
-    def _check_wall(self, now: float, wall: float, interval: float) -> None:
-        ahead = self._wall_ahead
-        if ahead is not None and wall - now > ahead + interval + LONGEST_LAG:
+    def _check_wall_clock(
+        self, now: float, wall: float, interval: float
+    ) -> None:
+        offset = self._wall_offset
+        if (
+            offset is not None
+            and wall - now > offset + interval + MAX_LAG_SECONDS
+        ):
             self.record_interruption(now)
 
     def update_incarnation(self, incarnation: int, now: float) -> None:
@@ -104,19 +112,19 @@
         self._incarnation = incarnation
 
     def update_members(
-        self, members: typing.Iterable[str], now: float
+        self, instances: typing.Iterable[str], now: float
     ) -> None:
         """Record the instances that may currently be coordinators."""
-        found = frozenset(members)
-        if found == self._members:
+        current = frozenset(instances)
+        if current == self._members:
             return
-        for name in self._members - found if self._has_begun else ():
+        for name in self._members - current if self._is_active else ():
             self._removed[name] = now
             self._removed.move_to_end(name)
-        self._members = found
+        self._members = current
         while self._removed:
-            name, at = next(iter(self._removed.items()))
-            if now - at < MEMORY:
+            name, removed_at = next(iter(self._removed.items()))
+            if now - removed_at < RETENTION_SECONDS:
                 break
             del self._removed[name]
 
@@ -124,10 +132,10 @@
         self, program: str, now: float, wall: float, interval: float
     ) -> bool:
         """Return whether no other instance can have been coordinator."""
-        self._check_wall(now, wall, interval)
-        if self._ticked_at is None or now - self._since < MEMORY:
+        self._check_wall_clock(now, wall, interval)
+        if self._ticked_at is None or now - self._since < RETENTION_SECONDS:
             return False
-        if now - self._ticked_at > interval + LONGEST_LAG:
+        if now - self._ticked_at > interval + MAX_LAG_SECONDS:
             # The process has just resumed and has no recent membership view.
             return False
         candidates = {self._instance, *self._members, *self._removed}
--- a/libs/gateway/vanillayoke/gateway/ledger.py
+++ b/libs/gateway/vanillayoke/gateway/ledger.py
@@ -25,9 +25,9 @@
 NEVER_VERSION = 2**53 - 1
 # How long a turn that does not fit waits for the program's other turns to
 # release tokens that they have reserved.
-SETTLEMENT_PATIENCE = 1.0
-DOUBT_PATIENCE = 0.5
-TOP_UP_PATIENCE = 2.0
+SETTLEMENT_TIMEOUT_SECONDS = 1.0
+CONFIRM_TIMEOUT_SECONDS = 0.5
+TOP_UP_TIMEOUT_SECONDS = 2.0
 
 
 class Outcome(enum.IntEnum):
@@ -90,8 +90,10 @@
         Up to ``extra`` tokens beyond the budget may be granted. Raise
         ``StoreError`` if the store can't be reached before the deadline.
         """
-        account = self._open(program)
-        patience = min(deadline, self._timers.now() + SETTLEMENT_PATIENCE)
+        account = self._open_account(program)
+        settlement_deadline = min(
+            deadline, self._timers.now() + SETTLEMENT_TIMEOUT_SECONDS
+        )
         while True:
             turn_ended = account.turn_ended
             async with account.lock:
@@ -100,7 +102,9 @@
                 )
             if outcome is Outcome.GRANTED or not account.allotment.reserved:
                 return outcome
-            if not await self._wait_for(turn_ended, patience):
+            if not await self._wait_for_settlement(
+                turn_ended, settlement_deadline
+            ):
                 return outcome
 
     async def _reserve(
@@ -117,16 +121,18 @@
             if account.allotment.reserve(turn, need):
                 return Outcome.GRANTED
             missing = need - account.allotment.free
-            if await self._grow(
+            if await self._request_grant(
                 account, program, budget, missing, deadline, extra
             ):
                 continue
             if account.is_current:
                 return Outcome.SPENT
             await self._refresh(account, program, deadline)
-        raise store_module.StoreRefusedError('too many conflicts')
+        raise store_module.StoreRefusedError(
+            'too many conflicting writes of the budget row'
+        )
 
-    async def _wait_for(
+    async def _wait_for_settlement(
         self, turn_ended: asyncio.Event, deadline: float
     ) -> bool:
         """Wait for a turn to end; return whether one did in time.
@@ -134,11 +140,11 @@
         A turn reserves the maximum that it may generate and usually uses
         less, so tokens become free when another turn is settled.
         """
-        left = deadline - self._timers.now()
-        if left <= 0:
+        remaining = deadline - self._timers.now()
+        if remaining <= 0:
             return False
         try:
-            async with asyncio.timeout(left):
+            async with asyncio.timeout(remaining):
                 await turn_ended.wait()
         except TimeoutError:
             return False
@@ -158,8 +164,8 @@
 
     async def confirm_writes(self, program: str) -> None:
         """Find out which writes of this instance took effect."""
-        account = self._open(program)
-        deadline = self._timers.now() + DOUBT_PATIENCE
+        account = self._open_account(program)
+        deadline = self._timers.now() + CONFIRM_TIMEOUT_SECONDS
         async with account.lock:
             await self._refresh(account, program, deadline)
 
@@ -167,7 +173,7 @@
         self, program: str, budget: int, turn: str, need: int
     ) -> None:
         """Report the state of the account that a turn was refused by."""
-        account = self._open(program)
+        account = self._open_account(program)
         row, allotment = account.row, account.allotment
         age = 0.0 if row is None else self._timers.wall() - row.time
         self._on_decision(
@@ -194,7 +200,7 @@
 
         Return the tokens given; 0 if the credit limit does not allow them.
         """
-        account = self._open(program)
+        account = self._open_account(program)
         missing = max(0, need - account.allotment.free)
         tokens = grants.plan_credit(
             budget, account.max_granted, account.owed, missing
@@ -207,11 +213,11 @@
         return tokens if account.allotment.reserve(turn, need) else 0
 
     def charge_former_credit(
-        self, program: str, budget: int, most: int
+        self, program: str, budget: int, max_tokens: int
     ) -> None:
         """Charge what a former coordinator may have given on credit."""
-        account = self._open(program)
-        tokens = grants.compute_charge(budget, most)
+        account = self._open_account(program)
+        tokens = grants.compute_charge(budget, max_tokens)
         account.owed += tokens
         account.charged += tokens
         account.budget = budget
@@ -226,8 +232,8 @@
 
     async def record_credit(self, program: str) -> None:
         """Record in the store what was given on credit."""
-        account = self._open(program)
-        deadline = self._timers.now() + TOP_UP_PATIENCE
+        account = self._open_account(program)
+        deadline = self._timers.now() + TOP_UP_TIMEOUT_SECONDS
         async with account.lock:
             for _ in range(MAX_CONFLICTS):
                 owed = account.owed
@@ -240,9 +246,9 @@
                     self._timers.wall(),
                     self.list_holders(program),
                 )
-                added = budget_accounts.WriteEffect(0, owed)
+                effect = budget_accounts.WriteEffect(0, owed)
                 try:
-                    await self._write(account, program, row, deadline, added)
+                    await self._write(account, program, row, deadline, effect)
                 except store_module.StoreError:
                     # The next maintenance run tries again.
                     return
@@ -259,14 +265,14 @@
 
     async def top_up(self, program: str, budget: int, need: int) -> None:
         """Get the next grant before a turn has to wait for it."""
-        account = self._open(program)
-        deadline = self._timers.now() + TOP_UP_PATIENCE
+        account = self._open_account(program)
+        deadline = self._timers.now() + TOP_UP_TIMEOUT_SECONDS
         async with account.lock:
             missing = need - account.allotment.free
             if missing <= 0:
                 return
             try:
-                if not await self._grow(
+                if not await self._request_grant(
                     account, program, budget, missing, deadline
                 ):
                     account.is_spent = account.is_current
@@ -280,7 +286,7 @@
 
     def deposit(self, program: str, tokens: int) -> None:
         """Add tokens that were transferred from another instance."""
-        account = self._open(program)
+        account = self._open_account(program)
         account.received += tokens
         account.allotment.add(tokens)
 
@@ -291,10 +297,10 @@
             return 0
         free = account.allotment.withdraw_free()
         # Tokens given on credit are paid back instead of being transferred.
-        kept = min(free, account.owed)
-        account.owed -= kept
-        account.received -= free - kept
-        return free - kept
+        repaid = min(free, account.owed)
+        account.owed -= repaid
+        account.received -= free - repaid
+        return free - repaid
 
     def list_with_free_tokens(self) -> list[str]:
         """Return the programs that have unreserved tokens here."""
@@ -318,10 +324,10 @@
 
     def prune(self) -> None:
         """Drop the accounts of idle programs."""
-        limit = self._timers.now() - ACCOUNT_IDLE_SECONDS
+        cutoff = self._timers.now() - ACCOUNT_IDLE_SECONDS
         while self._accounts:
             program, account = next(iter(self._accounts.items()))
-            if account.used_at > limit or account.lock.locked():
+            if account.used_at > cutoff or account.lock.locked():
                 return
             del self._accounts[program]
 
@@ -331,7 +337,7 @@
         If the store fails, or an account stays locked until the deadline, the
         remaining tokens stay counted as granted.
         """
-        returned = 0
+        returned_count = 0
         try:
             async with asyncio.timeout(
                 max(0.0, deadline - self._timers.now())
@@ -339,14 +345,14 @@
                 for program, account in list(self._accounts.items()):
                     if account.allotment.free > 0:
                         async with account.lock:
-                            returned += await self._return(
+                            returned_count += await self._return(
                                 account, program, deadline
                             )
         except (TimeoutError, store_module.StoreError):
-            return returned
-        return returned
+            return returned_count
+        return returned_count
 
-    def _open(self, program: str) -> budget_accounts.Account:
+    def _open_account(self, program: str) -> budget_accounts.Account:
         account = self._accounts.get(program)
         if account is None:
             account = self._accounts[program] = budget_accounts.Account()
@@ -354,7 +360,7 @@
         self._accounts.move_to_end(program)
         return account
 
-    async def _grow(
+    async def _request_grant(
         self,
         account: budget_accounts.Account,
         program: str,
@@ -376,8 +382,8 @@
         if grant is None:
             return False
         row = grant.row.add_holder(self._instance)
-        added = budget_accounts.WriteEffect(grant.tokens, owed)
-        await self._write(account, program, row, deadline, added)
+        effect = budget_accounts.WriteEffect(grant.tokens, owed)
+        await self._write(account, program, row, deadline, effect)
         return True
 
     async def _return(
@@ -407,17 +413,17 @@
         program: str,
         row: grants.BudgetRow,
         deadline: float,
-        added: budget_accounts.WriteEffect = budget_accounts.NO_EFFECT,
+        effect: budget_accounts.WriteEffect = budget_accounts.NO_EFFECT,
     ) -> bool:
         """Write a row if its version is unchanged; return whether it was.
 
         A write whose response is lost may still take effect. Its tokens are
         added to the account once a later row shows that it did.
         """
-        account.unconfirmed[row.write_id] = added
-        where = self._locate(program)
+        account.unconfirmed[row.write_id] = effect
+        row_key = self._make_row_key(program)
         transaction = messages.Transaction(
-            ((where, account.version),), ((where, _ENCODER.encode(row)),)
+            ((row_key, account.version),), ((row_key, _ENCODER.encode(row)),)
         )
         # The known row may be outdated from here on, whatever the outcome.
         account.is_current = False
@@ -427,24 +433,24 @@
         if isinstance(outcome, messages.Committed):
             account.update_row(self._instance, row, outcome.version)
             return True
-        self._take(account, program, outcome.rows)
+        self._apply_rows(account, program, outcome.rows)
         # An earlier attempt whose response was lost may have written it.
         return account.row is not None and account.row.write_id == row.write_id
 
     async def _refresh(
         self, account: budget_accounts.Account, program: str, deadline: float
     ) -> None:
-        where = self._locate(program)
+        row_key = self._make_row_key(program)
         # A transaction without changes reads the committed row, whereas a
         # plain read may return an older one.
-        check = messages.Transaction(((where, NEVER_VERSION),))
+        check = messages.Transaction(((row_key, NEVER_VERSION),))
         outcome = await retries.commit(
             self._store, check, deadline, self._timers
         )
         rows = outcome.rows if isinstance(outcome, messages.Conflict) else ()
-        self._take(account, program, rows)
+        self._apply_rows(account, program, rows)
 
-    def _take(
+    def _apply_rows(
         self,
         account: budget_accounts.Account,
         program: str,
@@ -461,12 +467,12 @@
             version = row.version
         account.update_row(self._instance, decoded, version)
         if decoded is not None and not account.received:
-            taken = budget_accounts.TakenOver(
+            taken_over = budget_accounts.TakenOver(
                 program, decoded.granted, decoded.budget
             )
-            self._on_decision(taken)
+            self._on_decision(taken_over)
 
-    def _locate(self, program: str) -> messages.RowKey:
+    def _make_row_key(self, program: str) -> messages.RowKey:
         return messages.RowKey(
             TABLE, partitions.find_partition(program), program
         )
--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -41,12 +41,12 @@
 
     def __init__(self, account: quotas.Account) -> None:
         self.account = account
-        self.opening: asyncio.Task | None = None
+        self.loading: asyncio.Task | None = None
         # Whether the row of the former coordinator was read.
-        self.is_known = False
+        self.is_loaded = False
         # When all instances have reported to this coordinator.
         self.settled_at = float('inf')
-        self.unsaved = 0
+        self.unsaved_count = 0
         self.is_saving = False
 
 
@@ -76,7 +76,7 @@
         self._entries: dict[str, _Entry] = {}
 
     def handle_request(
-        self, question: peer_messages.Usage
+        self, report: peer_messages.Usage
     ) -> (
         peer_messages.Standing
         | peer_messages.Unable
@@ -89,21 +89,21 @@
         """
         if self._is_leaving():
             return peer_messages.Unable(False)
-        name = question.organisation
+        name = report.organisation
         entry = self._entries.get(name)
         if entry is None:
             entry = _Entry(quotas.Account(self._window, self._needs))
             self._entries[name] = entry
-            self._begin(name, entry)
-        elif question.is_moved and self._is_settled(entry):
+            self._start_loading(name, entry)
+        elif report.is_moved and self._is_settled(entry):
             # Another instance has been the coordinator meanwhile.
-            self._begin(name, entry)
-        self._take(entry, question)
-        if entry.opening is not None:
-            if question.asked is None:
+            self._start_loading(name, entry)
+        self._record_usage(entry, report)
+        if entry.loading is not None:
+            if report.asked is None:
                 return peer_messages.Standing(is_close=True)
-            return self._answer_opened(entry, question)
-        return self._decide(entry, question)
+            return self._decide_when_loaded(entry, report)
+        return self._decide(entry, report)
 
     def prune(self) -> None:
         """Drop idle accounts."""
@@ -113,74 +113,76 @@
             if now - entry.account.seen > ACCOUNT_IDLE_SECONDS:
                 del self._entries[name]
 
-    def _begin(self, name: str, entry: _Entry) -> None:
-        entry.is_known = False
-        entry.opening = asyncio.get_running_loop().create_task(
-            self._open(name, entry)
+    def _start_loading(self, name: str, entry: _Entry) -> None:
+        entry.is_loaded = False
+        entry.loading = asyncio.get_running_loop().create_task(
+            self._load(name, entry)
         )
 
     def _is_settled(self, entry: _Entry) -> bool:
         is_over = self._timers.now() > entry.settled_at + SETTLING_SECONDS
-        return entry.opening is None and is_over
+        return entry.loading is None and is_over
 
-    def _take(self, entry: _Entry, question: peer_messages.Usage) -> None:
+    def _record_usage(
+        self, entry: _Entry, report: peer_messages.Usage
+    ) -> None:
         now = self._timers.now()
         account = entry.account
-        account.set_limit(question.limit, question.version)
-        if question.is_whole:
-            account.window.forget(question.reporter)
-        for used in question.used:
-            at = now - used.age / 1000
-            account.window.add(question.reporter, at, used.count)
-            asked = quotas.Asked(used.program, used.route)
-            account.note(asked, used.count, now)
-            entry.unsaved += used.count
+        account.set_limit(report.limit, report.version)
+        if report.is_whole:
+            account.window.forget(report.reporter)
+        for record in report.used:
+            at = now - record.age / 1000
+            account.window.add(report.reporter, at, record.count)
+            asked = quotas.Asked(record.program, record.route)
+            account.note(asked, record.count, now)
+            entry.unsaved_count += record.count
         account.seen = now
 
-    async def _answer_opened(
-        self, entry: _Entry, question: peer_messages.Usage
+    async def _decide_when_loaded(
+        self, entry: _Entry, report: peer_messages.Usage
     ) -> peer_messages.Standing:
-        if entry.opening is not None:
-            await asyncio.wait((entry.opening,))
-        return self._decide(entry, question)
+        if entry.loading is not None:
+            await asyncio.wait((entry.loading,))
+        return self._decide(entry, report)
 
     def _decide(
-        self, entry: _Entry, question: peer_messages.Usage
+        self, entry: _Entry, report: peer_messages.Usage
     ) -> peer_messages.Standing:
         now = self._timers.now()
         account = entry.account
         if now >= entry.settled_at:
             lost = self._find_lost_share()
-            reserve = quotas.find_reserve(account.limit, lost, entry.is_known)
+            reserve = quotas.find_reserve(account.limit, lost, entry.is_loaded)
         else:
-            reserve = quotas.find_first_reserve(account.limit, entry.is_known)
+            reserve = quotas.find_first_reserve(account.limit, entry.is_loaded)
         account.reserve = reserve
         standing = peer_messages.Standing(False)
-        if question.asked is not None:
-            asked = quotas.Asked(*question.asked)
-            match account.ask(question.reporter, asked, now):
-                case quotas.Refused() as found:
+        if report.asked is not None:
+            asked = quotas.Asked(*report.asked)
+            match account.ask(report.reporter, asked, now):
+                case quotas.Refused() as refusal:
                     standing = peer_messages.Standing(
                         False,
-                        _describe(found, account),
-                        found.pause,
-                        found.is_new,
+                        _describe(refusal, account),
+                        refusal.pause,
+                        refusal.is_new,
                     )
                 case quotas.Admitted():
-                    entry.unsaved += 1
-        self._save_soon(question.organisation, entry)
+                    entry.unsaved_count += 1
+        self._schedule_save(report.organisation, entry)
         return msgspec.structs.replace(
             standing, is_close=account.is_close(now)
         )
 
     # The store
 
-    async def _open(self, name: str, entry: _Entry) -> None:
+    async def _load(self, name: str, entry: _Entry) -> None:
         """Load the counts that a former coordinator has saved."""
         try:
             async with asyncio.timeout(READ_TIMEOUT_SECONDS):
                 saved = await self._read(name)
-                entry.is_known = True
+                entry.is_loaded = True
         except (TimeoutError, store_module.StoreError):
             saved = None
         now = self._timers.now()
@@ -189,17 +191,17 @@
             entry.account.window.inherit(
                 (now - age - one, count) for one, count in saved.counts
             )
-        entry.opening = None
+        entry.loading = None
         entry.settled_at = now + SETTLING_SECONDS
 
     async def _read(self, name: str) -> SavedAccount | None:
-        where = _locate(name)
+        row_key = _make_row_key(name)
         page = await self._store.read(
             TABLE,
-            where.part,
+            row_key.part,
             READ_TIMEOUT_SECONDS,
-            where.key,
-            where.key + '\0',
+            row_key.key,
+            row_key.key + '\0',
         )
         for row in page.rows:
             try:
@@ -209,17 +211,17 @@
                 return None
         return None
 
-    def _save_soon(self, name: str, entry: _Entry) -> None:
+    def _schedule_save(self, name: str, entry: _Entry) -> None:
         account = entry.account
-        most = quotas.SAVED_SHARE * account.limit.tolerance
-        if entry.is_saving or entry.unsaved <= most:
+        max_unsaved = quotas.SAVED_SHARE * account.limit.tolerance
+        if entry.is_saving or entry.unsaved_count <= max_unsaved:
             return
         entry.is_saving = True
         self._spawn(self._save(name, entry))
 
     async def _save(self, name: str, entry: _Entry) -> None:
         now = self._timers.now()
-        count = entry.unsaved
+        count = entry.unsaved_count
         saved = SavedAccount(
             self._timers.wall(),
             tuple(
@@ -228,11 +230,11 @@
             ),
         )
         transaction = messages.Transaction(
-            (), ((_locate(name), _ENCODER.encode(saved)),)
+            (), ((_make_row_key(name), _ENCODER.encode(saved)),)
         )
         try:
             await self._store.transact(transaction, WRITE_TIMEOUT_SECONDS)
-            entry.unsaved -= count
+            entry.unsaved_count -= count
         except store_module.StoreError:
             # Retried with the next request.
             return
@@ -240,17 +242,17 @@
             entry.is_saving = False
 
 
-def _locate(organisation: str) -> messages.RowKey:
+def _make_row_key(organisation: str) -> messages.RowKey:
     key = f'{xxhash.xxh3_128_intdigest(organisation.encode()):032x}'
     return messages.RowKey(TABLE, partitions.find_partition(key), key)
 
 
-def _describe(found: quotas.Refused, account: quotas.Account) -> str:
-    kind = 'a new program' if found.is_new else 'a request'
+def _describe(refusal: quotas.Refused, account: quotas.Account) -> str:
+    kind = 'new program' if refusal.is_new else 'running program'
     return (
-        f'{kind}: {found.used} of {found.limit:.0f} used,'
-        f' {found.expected} expected, {account.reserve:.0f} kept back;'
-        f' limit of version {account.version}'
+        f'{kind}: {refusal.used} of {refusal.limit:.0f} requests used,'
+        f' {refusal.expected} expected, {account.reserve:.0f} reserved;'
+        f' limit of configuration version {account.version}'
     )
 
 
--- a/libs/gateway/vanillayoke/gateway/limits.py
+++ b/libs/gateway/vanillayoke/gateway/limits.py
@@ -22,22 +22,22 @@
 # Distinguishes the keys of limits from those of programs.
 KEY_PREFIX = 'limit/'
 # How long admitted requests are batched before they are reported.
-TELL_DELAY = 0.25
+REPORT_DELAY_SECONDS = 0.25
 # The share of the tolerance that all instances together may admit without
 # reporting, assuming that each admits as many requests as this one.
-UNTOLD_SHARE = 1.0 - quotas.SAVED_SHARE
+UNREPORTED_RATIO = 1.0 - quotas.SAVED_SHARE
 # How long a response of the coordinator is valid.
-STANDING_LIFETIME = 1.0
-MOST_ASKED = 3
+STATUS_LIFETIME_SECONDS = 1.0
+MAX_COORDINATORS = 3
 # How long an instance that did not respond is skipped.
-SILENCE = 1.0
+UNRESPONSIVE_SECONDS = 1.0
 # Highest-ranked instances cached for each organisation.
-MOST_RANKED = 8
+MAX_RANKED = 8
 # Retry delay of requests refused because no coordinator can be reached.
-ALONE_PAUSE = 0.25
+ISOLATED_RETRY_SECONDS = 0.25
 # How long an instance cut off from most others assumes that these still have
 # a coordinator.
-LONGEST_APART = 15.0
+MAX_ISOLATION_SECONDS = 15.0
 
 
 class Admission(typing.NamedTuple):
@@ -51,15 +51,15 @@
 class _Entry:
     """Requests admitted at one time, and whether they were reported."""
 
-    __slots__ = ('at', 'asked', 'count', 'is_told')
+    __slots__ = ('at', 'request', 'count', 'is_reported')
 
     def __init__(
-        self, at: float, asked: quotas.Asked, count: int, is_told: bool
+        self, at: float, request: quotas.Asked, count: int, is_reported: bool
     ) -> None:
         self.at = at
-        self.asked = asked
+        self.request = request
         self.count = count
-        self.is_told = is_told
+        self.is_reported = is_reported
 
 
 class _Usage:
@@ -67,24 +67,24 @@
 
     def __init__(self) -> None:
         self.entries: collections.deque[_Entry] = collections.deque()
-        self.home: str | None = None
-        self.has_moved = False
+        self.coordinator: str | None = None
+        self.has_changed_coordinator = False
         self.is_close = False
         self.is_cut_off = False
-        self.is_telling = False
+        self.is_report_scheduled = False
         # When the coordinator last responded.
-        self.answered_at = float('-inf')
+        self.responded_at = float('-inf')
         self.limit = quotas.Limit(0.0, 0.0, 0.0, 0.0)
         self.version = 0
 
     def add(
         self,
         at: float,
-        asked: quotas.Asked,
+        request: quotas.Asked,
         count: int,
-        is_told: bool = False,
+        is_reported: bool = False,
     ) -> None:
-        self.entries.append(_Entry(at, asked, count, is_told))
+        self.entries.append(_Entry(at, request, count, is_reported))
 
     def prune(self, limit: float) -> None:
         while self.entries and self.entries[0].at < limit:
@@ -93,24 +93,24 @@
     def count(self) -> int:
         return sum(entry.count for entry in self.entries)
 
-    def count_untold(self) -> int:
+    def count_unreported(self) -> int:
         found = 0
         for entry in reversed(self.entries):
-            if entry.is_told:
+            if entry.is_reported:
                 break
             found += abs(entry.count)
         return found
 
-    def take_untold(self, is_whole: bool) -> list[_Entry]:
+    def take_unreported(self, is_whole: bool) -> list[_Entry]:
         """Return the entries to report and mark them as reported.
 
         ``is_whole`` includes those reported before.
         """
         found = []
         for entry in self.entries:
-            if is_whole or not entry.is_told:
+            if is_whole or not entry.is_reported:
                 found.append(entry)
-                entry.is_told = True
+                entry.is_reported = True
         return found
 
 
@@ -127,8 +127,8 @@
         timer_service: timers.TimerService,
         spawn: typing.Callable[[typing.Coroutine], None],
         get_version: typing.Callable[[], int],
-        is_alone: typing.Callable[[], bool],
-        draw: typing.Callable[[], float],
+        is_isolated: typing.Callable[[], bool],
+        random_float: typing.Callable[[], float],
     ) -> None:
         self._instance = instance
         # Distinguishes this process from a former one of the same instance,
@@ -141,14 +141,14 @@
         self._timers = timer_service
         self._spawn = spawn
         self._get_version = get_version
-        self._is_alone = is_alone
-        self._apart_since: float | None = None
-        self._draw = draw
+        self._is_isolated = is_isolated
+        self._cut_off_since: float | None = None
+        self._random_float = random_float
         self._peers: peers_module.Peers | None = None
         self._usages: dict[str, _Usage] = {}
-        self._silent: dict[str, float] = {}
-        self._members: typing.Sequence[rendezvous.Peer] = ()
-        self._homes: dict[str, list[str]] = {}
+        self._unresponsive: dict[str, float] = {}
+        self._eligible: typing.Sequence[rendezvous.Peer] = ()
+        self._rankings: dict[str, list[str]] = {}
 
     def set_peers(self, peers: peers_module.Peers) -> None:
         """Set the connection to other instances."""
@@ -157,7 +157,7 @@
     async def admit(
         self,
         organisation: messages.Organisation | None,
-        asked: quotas.Asked,
+        request: quotas.Asked,
         deadline: float,
     ) -> Admission | None:
         """Count a request as used; return ``None`` if there is no limit.
@@ -171,19 +171,19 @@
         now = self._timers.now()
         if self._must_ask(usage, now):
             await self._wait_for_room(
-                organisation.name, usage, asked, deadline
+                organisation.name, usage, request, deadline
             )
         else:
-            usage.add(now, asked, 1)
-            self._tell_in_time(organisation.name, usage)
-        return Admission(organisation.name, asked, self._timers.now())
+            usage.add(now, request, 1)
+            self._report_usage(organisation.name, usage)
+        return Admission(organisation.name, request, self._timers.now())
 
     def adjust(self, admission: Admission, count: int) -> None:
         """Count further runs of a request; -1 if it did not run."""
         usage = self._usages.get(admission.organisation)
         if usage is not None:
             usage.add(admission.at, admission.request, count)
-            self._tell_soon(admission.organisation, usage)
+            self._schedule_report(admission.organisation, usage)
 
     def prune(self) -> None:
         """Drop what has left the window; report to new coordinators."""
@@ -192,16 +192,16 @@
             usage.prune(now - self._window)
             if not usage.entries:
                 del self._usages[name]
-            elif usage.home != self._find_home(name):
-                self._tell_soon(name, usage)
+            elif usage.coordinator != self._find_coordinator(name):
+                self._schedule_report(name, usage)
 
     def _must_ask(self, usage: _Usage, now: float) -> bool:
         if usage.is_close or usage.is_cut_off:
             return True
-        if now - usage.answered_at < STANDING_LIFETIME:
+        if now - usage.responded_at < STATUS_LIFETIME_SECONDS:
             return False
-        count = len(self._list_members())
-        return count > UNTOLD_SHARE * usage.limit.tolerance
+        count = len(self._list_eligible())
+        return count > UNREPORTED_RATIO * usage.limit.tolerance
 
     def _open(self, organisation: messages.Organisation) -> _Usage:
         usage = self._usages.get(organisation.name)
@@ -217,7 +217,7 @@
         self,
         organisation: str,
         usage: _Usage,
-        asked: quotas.Asked,
+        request: quotas.Asked,
         deadline: float,
     ) -> None:
         """Ask until the request is admitted or can't be before the deadline.
@@ -225,99 +225,105 @@
         A program that has begun would fail with one of its requests.
         """
         while True:
-            answer = await self._send(organisation, usage, asked)
-            if answer is None:
-                self._admit_alone(usage, asked)
+            response = await self._send_report(organisation, usage, request)
+            if response is None:
+                self._admit_isolated(usage, request)
                 return
-            if answer.refused is None:
+            if response.refused is None:
                 # The coordinator has counted the request already.
-                usage.add(self._timers.now(), asked, 1, is_told=True)
+                usage.add(self._timers.now(), request, 1, is_reported=True)
                 self._usages[organisation] = usage
                 return
             now = self._timers.now()
-            if answer.is_new or now + answer.pause > deadline:
+            if response.is_new or now + response.pause > deadline:
                 raise refusals.RefusalError(
                     refusals.Reason.OVER_LIMIT,
-                    f'{answer.refused}; counted by {usage.home}',
-                    answer.pause,
+                    f'{response.refused}; counted by {usage.coordinator}',
+                    response.pause,
                 )
-            await self._timers.sleep(answer.pause)
+            await self._timers.sleep(response.pause)
 
-    def _admit_alone(self, usage: _Usage, asked: quotas.Asked) -> None:
+    def _admit_isolated(self, usage: _Usage, request: quotas.Asked) -> None:
         """Admit this instance's even share of the tolerance.
 
         No coordinator responds, and the limit may be used up. A share of less
         than one request is the probability of admitting one.
         """
-        count = max(1, len(self._list_members()))
+        count = max(1, len(self._list_eligible()))
         now = self._timers.now()
         usage.prune(now - self._window)
-        share = UNTOLD_SHARE * usage.limit.tolerance / count
-        if usage.count() + self._draw() > share:
+        share = UNREPORTED_RATIO * usage.limit.tolerance / count
+        if usage.count() + self._random_float() > share:
             raise refusals.RefusalError(
                 refusals.Reason.OVER_LIMIT,
-                'no instance that counts the requests answers',
-                ALONE_PAUSE,
+                'no coordinator of the limit responds',
+                ISOLATED_RETRY_SECONDS,
             )
-        usage.add(now, asked, 1)
+        usage.add(now, request, 1)
 
-    def _tell_in_time(self, organisation: str, usage: _Usage) -> None:
-        count = usage.count_untold() * len(self._list_members())
-        if count < UNTOLD_SHARE * usage.limit.tolerance:
-            self._tell_soon(organisation, usage)
+    def _report_usage(self, organisation: str, usage: _Usage) -> None:
+        count = usage.count_unreported() * len(self._list_eligible())
+        if count < UNREPORTED_RATIO * usage.limit.tolerance:
+            self._schedule_report(organisation, usage)
         else:
-            self._spawn(self._send(organisation, usage, None))
-
-    def _tell_soon(self, organisation: str, usage: _Usage) -> None:
-        if not usage.is_telling:
-            usage.is_telling = True
-            self._spawn(self._tell(organisation, usage))
-
-    async def _tell(self, organisation: str, usage: _Usage) -> None:
-        await self._timers.sleep(TELL_DELAY)
-        usage.is_telling = False
-        is_moved = usage.home != self._find_home(organisation)
-        if is_moved or usage.count_untold():
-            await self._send(organisation, usage, None)
-
-    async def _send(
-        self, organisation: str, usage: _Usage, asked: quotas.Asked | None
+            self._spawn(self._send_report(organisation, usage, None))
+
+    def _schedule_report(self, organisation: str, usage: _Usage) -> None:
+        if not usage.is_report_scheduled:
+            usage.is_report_scheduled = True
+            self._spawn(self._send_delayed_report(organisation, usage))
+
+    async def _send_delayed_report(
+        self, organisation: str, usage: _Usage
+    ) -> None:
+        await self._timers.sleep(REPORT_DELAY_SECONDS)
+        usage.is_report_scheduled = False
+        is_moved = usage.coordinator != self._find_coordinator(organisation)
+        if is_moved or usage.count_unreported():
+            await self._send_report(organisation, usage, None)
+
+    async def _send_report(
+        self, organisation: str, usage: _Usage, request: quotas.Asked | None
     ) -> peer_messages.Standing | None:
         """Report unreported requests to the coordinator; return its response.
 
         Return ``None`` if no instance responds.
         """
-        for _ in range(MOST_ASKED):
-            home = self._find_home(organisation)
-            if home is None:
+        for _ in range(MAX_COORDINATORS):
+            coordinator = self._find_coordinator(organisation)
+            if coordinator is None:
                 break
-            question = self._make_question(organisation, usage, home, asked)
-            answer = await self._put(home, question)
-            if isinstance(answer, peer_messages.Standing):
-                usage.is_close = answer.is_close
+            report = self._make_report(
+                organisation, usage, coordinator, request
+            )
+            response = await self._deliver(coordinator, report)
+            if isinstance(response, peer_messages.Standing):
+                usage.is_close = response.is_close
                 usage.is_cut_off = False
-                usage.answered_at = self._timers.now()
-                return answer
-            self._silent[home] = self._timers.now()
+                usage.responded_at = self._timers.now()
+                return response
+            self._unresponsive[coordinator] = self._timers.now()
             # It may have counted the requests or not: the next coordinator
             # gets a complete report.
-            usage.home = None
-            usage.has_moved = True
+            usage.coordinator = None
+            usage.has_changed_coordinator = True
         usage.is_cut_off = True
         return None
 
-    def _make_question(
+    def _make_report(
         self,
         organisation: str,
         usage: _Usage,
-        home: str,
-        asked: quotas.Asked | None,
+        coordinator: str,
+        request: quotas.Asked | None,
     ) -> peer_messages.Usage:
         now = self._timers.now()
         usage.prune(now - self._window)
-        is_whole = usage.home != home
-        is_moved = is_whole and (usage.home is not None or usage.has_moved)
-        usage.home = home
+        is_whole = usage.coordinator != coordinator
+        is_moved = is_whole and (
+            usage.coordinator is not None or usage.has_changed_coordinator
+        )
+        usage.coordinator = coordinator
         return peer_messages.Usage(
             organisation,
             self._reporter,
@@ -326,87 +332,96 @@
             tuple(
                 peer_messages.Used(
                     round((now - entry.at) * 1000),
-                    entry.asked.program,
-                    entry.asked.route,
+                    entry.request.program,
+                    entry.request.route,
                     entry.count,
                 )
-                for entry in usage.take_untold(is_whole)
+                for entry in usage.take_unreported(is_whole)
             ),
             is_whole,
             is_moved,
-            None if asked is None else (asked.program, asked.route),
+            None if request is None else (request.program, request.route),
         )
 
-    async def _put(
-        self, home: str, question: peer_messages.Usage
+    async def _deliver(
+        self, coordinator: str, report: peer_messages.Usage
     ) -> peer_messages.Answer | None:
-        if home == self._instance:
-            answer = self._accounts.handle_request(question)
-            if asyncio.iscoroutine(answer):
-                answer = await answer
-            return answer
-        address = self._find_address(home)
+        if coordinator == self._instance:
+            response = self._accounts.handle_request(report)
+            if asyncio.iscoroutine(response):
+                response = await response
+            return response
+        address = self._find_address(coordinator)
         deadline = self._timers.now() + limit_accounts.READ_TIMEOUT_SECONDS
-        return await self._peers.ask(address, question, deadline)
+        return await self._peers.ask(address, report, deadline)
 
-    def _find_address(self, home: str) -> str:
+    def _find_address(self, coordinator: str) -> str:
         return next(
-            (one.address for one in self._members if one.instance == home), ''
+            (
+                one.address
+                for one in self._eligible
+                if one.instance == coordinator
+            ),
+            '',
         )
 
-    def _list_members(self) -> typing.Sequence[rendezvous.Peer]:
+    def _list_eligible(self) -> typing.Sequence[rendezvous.Peer]:
         """Return the instances that may be coordinators.
 
         If all instances are leaving, the one with the highest score remains
         the coordinator.
         """
-        members = (
+        eligible = (
             self._membership.list_eligible()
             or self._membership.list_reachable()
         )
-        if members is not self._members:
-            self._members = members
-            self._homes.clear()
-        return members
+        if eligible is not self._eligible:
+            self._eligible = eligible
+            self._rankings.clear()
+        return eligible
 
-    def _is_apart(self) -> bool:
+    def _is_cut_off(self) -> bool:
         """Return whether others may have a coordinator that is unreachable.
 
         Limited in time: if most instances are lost permanently, the remaining
         ones have to take over.
         """
         now = self._timers.now()
-        if not self._is_alone():
-            self._apart_since = None
+        if not self._is_isolated():
+            self._cut_off_since = None
             return False
-        if self._apart_since is None:
-            self._apart_since = now
-        return now - self._apart_since < LONGEST_APART
+        if self._cut_off_since is None:
+            self._cut_off_since = now
+        return now - self._cut_off_since < MAX_ISOLATION_SECONDS
 
-    def _find_home(self, organisation: str) -> str | None:
+    def _find_coordinator(self, organisation: str) -> str | None:
         """Return the coordinator, skipping unresponsive instances.
 
         Return ``None`` if this instance is cut off from most others: the
         other side of the network partition has a coordinator of its own.
         """
-        if self._is_apart():
+        if self._is_cut_off():
             return None
-        limit = self._timers.now() - SILENCE
-        for name in [one for one, at in self._silent.items() if at < limit]:
-            del self._silent[name]
-        members = self._list_members()
-        ranked = self._homes.get(organisation)
+        limit = self._timers.now() - UNRESPONSIVE_SECONDS
+        for name in [
+            one for one, at in self._unresponsive.items() if at < limit
+        ]:
+            del self._unresponsive[name]
+        eligible = self._list_eligible()
+        ranked = self._rankings.get(organisation)
         if ranked is None:
-            best = rendezvous.list_highest(
-                KEY_PREFIX + organisation, members, MOST_RANKED
+            highest = rendezvous.list_highest(
+                KEY_PREFIX + organisation, eligible, MAX_RANKED
             )
-            ranked = self._homes[organisation] = [one.instance for one in best]
+            ranked = self._rankings[organisation] = [
+                one.instance for one in highest
+            ]
         for instance in ranked:
-            if instance not in self._silent:
+            if instance not in self._unresponsive:
                 break
         else:
             return None
         # This instance does not take over for unresponsive instances: it may
         # be cut off from the others.
-        is_stand_in = instance == self._instance and instance != ranked[0]
-        return None if is_stand_in else instance
+        is_replacement = instance == self._instance and instance != ranked[0]
+        return None if is_replacement else instance
--- a/libs/gateway/vanillayoke/gateway/program_tracking.py
+++ b/libs/gateway/vanillayoke/gateway/program_tracking.py
@@ -5,9 +5,9 @@
 from vanillayoke.scheduling import outlook
 
 # Programs idle for longer are regarded as ended.
-QUIET = 3.0
+IDLE_SECONDS = 3.0
 # How long the state of an idle program is kept, in case it continues.
-KEPT = 120.0
+RETENTION_SECONDS = 120.0
 
 
 class ProgramTracker:
@@ -52,27 +52,27 @@
     def record_target(self, program: str, session: str, target: str) -> None:
         """Record the target at which a turn was completed."""
         if program in self._clocks:
-            known = self._targets.setdefault(program, {})
-            known[session] = known[''] = target
+            targets = self._targets.setdefault(program, {})
+            targets[session] = targets[''] = target
 
     def find_target(self, program: str, session: str) -> str | None:
         """Return the target that caches most of a session's prompt.
 
         A new session begins with the prompt of the one that started it.
         """
-        known = self._targets.get(program, {})
-        return known.get(session) or known.get('')
+        targets = self._targets.get(program, {})
+        return targets.get(session) or targets.get('')
 
     def prune(self, now: float) -> None:
         """Learn from the programs that have ended, and drop old ones."""
         for program, clock in list(self._clocks.items()):
-            quiet = now - clock.used_at
-            if quiet < QUIET:
+            idle = now - clock.used_at
+            if idle < IDLE_SECONDS:
                 return
             route = self._routes.pop(program, None)
             if route is not None:
                 self._find_share(route).learn(clock)
-            if quiet >= KEPT:
+            if idle >= RETENTION_SECONDS:
                 del self._clocks[program]
                 self._targets.pop(program, None)
 
--- a/libs/gateway/vanillayoke/gateway/rendezvous.py
+++ b/libs/gateway/vanillayoke/gateway/rendezvous.py
@@ -48,7 +48,7 @@
 def find_highest(program: str, instances: typing.Iterable[str]) -> str | None:
     """Return the name with the highest score."""
     return max(
-        instances, key=lambda one: compute_score(program, one), default=None
+        instances, key=lambda peer: compute_score(program, peer), default=None
     )
 
 
@@ -58,7 +58,7 @@
     """Return the instance with the highest score, the key's coordinator."""
     return max(
         members,
-        key=lambda one: compute_score(program, one.instance),
+        key=lambda peer: compute_score(program, peer.instance),
         default=None,
     )
 
@@ -68,5 +68,5 @@
 ) -> list[Peer]:
     """Return the instances with the highest scores in descending order."""
     return heapq.nlargest(
-        count, members, key=lambda one: compute_score(program, one.instance)
+        count, members, key=lambda peer: compute_score(program, peer.instance)
     )
--- a/libs/gateway/vanillayoke/gateway/reservations.py
+++ b/libs/gateway/vanillayoke/gateway/reservations.py
@@ -25,17 +25,17 @@
 from vanillayoke.scheduling import outlook
 
 # How long the store may take on behalf of another instance.
-HOME_PATIENCE = 2.5
+COORDINATOR_TIMEOUT_SECONDS = 2.5
 # How long after joining this instance asks the former coordinators of
 # programs for their tokens.
 JOIN_PERIOD_SECONDS = 20.0
 # How long a turn waits for a grant before it proceeds on credit.
 CREDIT_TIMEOUT_SECONDS = 0.1
 # Programs whose credit is recorded concurrently.
-MOST_CREDITS = 10
+MAX_CREDIT_WRITES = 10
 # Rounds of collecting tokens from other instances for one turn.
-MOST_COLLECTIONS = 4
-MOST_REMEMBERED = 2000
+MAX_COLLECTION_ROUNDS = 4
+MAX_REMEMBERED = 2000
 # Interval of the check that the event loop is running.
 TICK_INTERVAL_SECONDS = 0.25
 
@@ -55,13 +55,13 @@
 
 
 def _remember(
-    known: collections.OrderedDict[typing.Any, None], key: typing.Any
+    keys: collections.OrderedDict[typing.Any, None], key: typing.Any
 ) -> None:
     """Add a key, and evict the oldest one beyond the maximum size."""
-    known[key] = None
-    known.move_to_end(key)
-    if len(known) > MOST_REMEMBERED:
-        known.popitem(last=False)
+    keys[key] = None
+    keys.move_to_end(key)
+    if len(keys) > MAX_REMEMBERED:
+        keys.popitem(last=False)
 
 
 class Reservations:
@@ -84,7 +84,7 @@
         self._membership = membership
         self._timers = timer_service
         self._spawn = spawn
-        self._began = timer_service.now()
+        self._started_at = timer_service.now()
         self._program_tracker = program_tracking.ProgramTracker()
         self._transfers = token_transfers.TokenTransfers(
             instance,
@@ -93,13 +93,13 @@
             timer_service,
             spawn,
         )
-        self._calls = coordinator_client.CoordinatorClient(
+        self._client = coordinator_client.CoordinatorClient(
             membership, timer_service, spawn
         )
         self.is_leaving = False
         # Turns that have ended, by program. A request to reserve for one may
         # still arrive, late or duplicated, and would never be settled.
-        self._ended: collections.OrderedDict[tuple[str, str], None] = (
+        self._ended_turns: collections.OrderedDict[tuple[str, str], None] = (
             collections.OrderedDict()
         )
         # Programs first seen shortly after a failure of the store: their
@@ -109,13 +109,13 @@
         )
         # Programs that other instances have reserved for while this instance
         # was their coordinator.
-        self._shared: collections.OrderedDict[str, None] = (
+        self._reserved_elsewhere: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
 
     def set_peers(self, peers: peers_module.Peers) -> None:
         """Set the connection to other instances."""
-        self._calls.set_peers(peers)
+        self._client.set_peers(peers)
         self._transfers.set_peers(peers)
 
     async def hand_over(self) -> int:
@@ -127,86 +127,90 @@
         return await self._transfers.hand_over()
 
     def reserve_locally(
-        self, question: peer_messages.Reserve
+        self, request: peer_messages.Reserve
     ) -> Reservation | None:
         """Reserve from this instance's own tokens; ``None`` if too few.
 
         They were granted to it as the program's coordinator or in its place.
         """
         self._exclusivity.record_program()
-        self._charge(question)
+        self._charge_former_credit(request)
         if not self._ledger.try_reserve(
-            question.program, question.turn, question.need
+            request.program, request.turn, request.need
         ):
             return None
-        self._top_up(question)
-        return self._make_reservation(question)
+        self._top_up(request)
+        return self._make_reservation(request)
 
     async def reserve(
-        self, question: peer_messages.Reserve, deadline: float
+        self, request: peer_messages.Reserve, deadline: float
     ) -> Reservation:
         """Reserve the maximum of a turn at its program's coordinator.
 
         Raise ``StoreError`` if the outcome can't be determined.
         """
-        found = self.reserve_locally(question)
-        if found is not None:
-            return found
-        for home in self._calls.list_coordinators(question.program):
-            if home.instance == self._instance:
+        reservation = self.reserve_locally(request)
+        if reservation is not None:
+            return reservation
+        for coordinator in self._client.list_coordinators(request.program):
+            if coordinator.instance == self._instance:
                 break
-            answer = await self._calls.reserve(home, question, deadline)
-            match answer:
+            response = await self._client.reserve(
+                coordinator, request, deadline
+            )
+            match response:
                 case peer_messages.Granted(slack, target):
-                    return Reservation(True, home.address, slack, target)
+                    return Reservation(
+                        True, coordinator.address, slack, target
+                    )
                 case peer_messages.Spent():
-                    return Reservation(False, home.address, None)
+                    return Reservation(False, coordinator.address, None)
                 case peer_messages.Unable(is_store=True):
                     raise store_module.StoreRefusedError(
-                        f'{home.instance} could not ask the store'
+                        f'{coordinator.instance} could not reach the store'
                     )
                 case peer_messages.Pending():
                     break
-        outcome = await self._reserve_apart(question, deadline)
+        outcome = await self._reserve_shielded(request, deadline)
         is_granted = outcome is ledger_module.Outcome.GRANTED
-        return self._make_reservation(question)._replace(is_granted=is_granted)
+        return self._make_reservation(request)._replace(is_granted=is_granted)
 
-    async def _reserve_apart(
-        self, question: peer_messages.Reserve, deadline: float
+    async def _reserve_shielded(
+        self, request: peer_messages.Reserve, deadline: float
     ) -> ledger_module.Outcome:
         """Reserve in a task that continues if the caller is cancelled.
 
         The row may already be written then, and its grant must be accounted
         for.
         """
-        work = asyncio.ensure_future(
-            self._reserve_from_store(question, deadline)
+        task = asyncio.ensure_future(
+            self._reserve_from_store(request, deadline)
         )
         try:
-            return await asyncio.shield(work)
+            return await asyncio.shield(task)
         except asyncio.CancelledError:
-            self._spawn(self._drop_reservation(question, work))
+            self._spawn(self._drop_reservation(request, task))
             raise
 
     async def _drop_reservation(
         self,
-        question: peer_messages.Reserve,
-        work: asyncio.Future[ledger_module.Outcome],
+        request: peer_messages.Reserve,
+        task: asyncio.Future[ledger_module.Outcome],
     ) -> None:
         try:
-            await work
+            await task
         except store_module.StoreError:
             return
-        self._ledger.settle(question.program, question.turn, 0)
+        self._ledger.settle(request.program, request.turn, 0)
 
     async def settle(
-        self, address: str, question: peer_messages.Settle
+        self, address: str, request: peer_messages.Settle
     ) -> None:
         """Notify the instance that made a reservation that its turn ended."""
         if not address:
-            self._settle(question)
+            self._settle(request)
             return
-        await self._calls.settle(address, question)
+        await self._client.settle(address, request)
 
     def prune(self) -> None:
         """Run maintenance: drop idle state and record credit."""
@@ -221,248 +225,250 @@
         """
         if self._ledger.is_store_unavailable:
             return
-        for program in self._ledger.list_owing()[:MOST_CREDITS]:
+        for program in self._ledger.list_owing()[:MAX_CREDIT_WRITES]:
             self._spawn(self._ledger.record_credit(program))
 
     async def _reserve_from_store(
-        self, question: peer_messages.Reserve, deadline: float
+        self, request: peer_messages.Reserve, deadline: float
     ) -> ledger_module.Outcome:
-        if self._timers.now() - self._began < JOIN_PERIOD_SECONDS:
-            await self._transfers.collect_from_former(question.program)
-        is_sure = self._is_sure(question.program)
-        if is_sure and question.may_owe:
-            if await self._reserve_soon(question):
+        if self._timers.now() - self._started_at < JOIN_PERIOD_SECONDS:
+            await self._transfers.collect_from_former(request.program)
+        is_exclusive = self._is_exclusive(request.program)
+        if is_exclusive and request.may_owe:
+            if await self._reserve_or_give_credit(request):
                 return ledger_module.Outcome.GRANTED
         extra = 0
-        if not is_sure:
-            extra = self._allow_for_predecessor(question)
-        outcome = await self._reserve_in_ledger(question, deadline, extra)
+        if not is_exclusive:
+            extra = self._allow_for_former_coordinator(request)
+        outcome = await self._reserve_in_ledger(request, deadline, extra)
         if outcome is ledger_module.Outcome.SPENT:
-            outcome = await self._reserve_from_others(
-                question, deadline, extra
-            )
+            outcome = await self._reserve_from_others(request, deadline, extra)
         if outcome is ledger_module.Outcome.SPENT:
             self._ledger.report_refusal(
-                question.program,
-                question.budget,
-                question.turn,
-                question.need,
+                request.program,
+                request.budget,
+                request.turn,
+                request.need,
             )
-        self._top_up(question)
+        self._top_up(request)
         return outcome
 
     async def _reserve_from_others(
-        self, question: peer_messages.Reserve, deadline: float, extra: int
+        self, request: peer_messages.Reserve, deadline: float, extra: int
     ) -> ledger_module.Outcome:
         """Reserve after collecting tokens from other instances.
 
         Two coordinators that are both short of tokens could take them from
         each other until their callers time out, so the rounds are limited.
         """
-        for _ in range(MOST_COLLECTIONS):
-            if not await self._transfers.collect(question.program, deadline):
+        for _ in range(MAX_COLLECTION_ROUNDS):
+            if not await self._transfers.collect(request.program, deadline):
                 # Turns may have ended during the collection.
                 if self._ledger.try_reserve(
-                    question.program, question.turn, question.need
+                    request.program, request.turn, request.need
                 ):
                     return ledger_module.Outcome.GRANTED
                 return ledger_module.Outcome.SPENT
-            outcome = await self._reserve_in_ledger(question, deadline, extra)
+            outcome = await self._reserve_in_ledger(request, deadline, extra)
             if outcome is ledger_module.Outcome.GRANTED:
                 return outcome
         raise store_module.StoreRefusedError(
-            'other instances need the rest of the budget'
+            'other instances compete for the rest of the budget'
         )
 
     async def _reserve_in_ledger(
-        self, question: peer_messages.Reserve, deadline: float, extra: int
+        self, request: peer_messages.Reserve, deadline: float, extra: int
     ) -> ledger_module.Outcome:
         return await self._ledger.reserve(
-            question.program,
-            question.budget,
-            question.turn,
-            question.need,
+            request.program,
+            request.budget,
+            request.turn,
+            request.need,
             deadline,
             extra,
         )
 
-    def _allow_for_predecessor(self, question: peer_messages.Reserve) -> int:
+    def _allow_for_former_coordinator(
+        self, request: peer_messages.Reserve
+    ) -> int:
         """Allow for tokens that a former coordinator may have lost or given.
 
         Credit that it may have given is charged to the program. Return the
         tokens that may be granted beyond the budget: one turn's maximum.
         """
-        is_new = not self._ledger.has_account(question.program)
+        is_new = not self._ledger.has_account(request.program)
         now = self._timers.now()
         if is_new and self._exclusivity.had_recent_store_failure(now):
-            _remember(self._uncharged, question.program)
-        self._charge(question)
-        return question.need
+            _remember(self._uncharged, request.program)
+        self._charge_former_credit(request)
+        return request.need
 
-    def _charge(self, question: peer_messages.Reserve) -> None:
+    def _charge_former_credit(self, request: peer_messages.Reserve) -> None:
         """Charge once what a former coordinator may have given on credit.
 
         Only turns that may run on credit are charged. A new program that
         never gets credit could otherwise be refused as spent at its first
         turn after one or two coordinators failed.
         """
-        if question.may_owe and question.program in self._uncharged:
-            del self._uncharged[question.program]
+        if request.may_owe and request.program in self._uncharged:
+            del self._uncharged[request.program]
             self._ledger.charge_former_credit(
-                question.program, question.budget, question.need
+                request.program, request.budget, request.need
             )
 
-    async def _reserve_soon(self, question: peer_messages.Reserve) -> bool:
+    async def _reserve_or_give_credit(
+        self, request: peer_messages.Reserve
+    ) -> bool:
         """Reserve from the store, or on credit if it takes too long."""
-        asked = background.start(
-            self._ledger.top_up(
-                question.program, question.budget, question.need
-            ),
+        top_up = background.start(
+            self._ledger.top_up(request.program, request.budget, request.need),
             self._spawn,
         )
-        await asyncio.wait((asked,), timeout=CREDIT_TIMEOUT_SECONDS)
+        await asyncio.wait((top_up,), timeout=CREDIT_TIMEOUT_SECONDS)
         if self._ledger.try_reserve(
-            question.program, question.turn, question.need
+            request.program, request.turn, request.need
         ):
             return True
-        if asked.done() and not self._ledger.is_store_unreachable:
+        if top_up.done() and not self._ledger.is_store_unreachable:
             # The store has responded: the budget may be spent.
             return False
-        return self._give_credit(question)
+        return self._give_credit(request)
 
-    def _give_credit(self, question: peer_messages.Reserve) -> bool:
+    def _give_credit(self, request: peer_messages.Reserve) -> bool:
         """Reserve without the store, if that can't exceed the budget."""
-        if not question.may_owe or not self._is_sure(question.program):
+        if not request.may_owe or not self._is_exclusive(request.program):
             return False
         tokens = self._ledger.reserve_on_credit(
-            question.program, question.budget, question.turn, question.need
+            request.program, request.budget, request.turn, request.need
         )
         if tokens:
-            self._on_credit(question.program, question.turn, tokens)
+            self._on_credit(request.program, request.turn, tokens)
         return bool(tokens)
 
-    def _is_sure(self, program: str) -> bool:
+    def _is_exclusive(self, program: str) -> bool:
         """Return whether no other instance can have granted tokens."""
-        if self.is_leaving or program in self._shared:
+        if self.is_leaving or program in self._reserved_elsewhere:
             return False
         now = self._timers.now()
-        members = self._membership.list_eligible()
+        eligible = self._membership.list_eligible()
         self._exclusivity.update_members(
-            (one.instance for one in members), now
+            (peer.instance for peer in eligible), now
         )
-        home = rendezvous.find_coordinator(program, members)
-        if home is None or home.instance != self._instance:
+        coordinator = rendezvous.find_coordinator(program, eligible)
+        if coordinator is None or coordinator.instance != self._instance:
             return False
         return self._exclusivity.is_exclusive(
             program, now, self._timers.wall(), TICK_INTERVAL_SECONDS
         )
 
-    def _top_up(self, question: peer_messages.Reserve) -> None:
-        if self._ledger.needs_top_up(question.program, question.need):
+    def _top_up(self, request: peer_messages.Reserve) -> None:
+        if self._ledger.needs_top_up(request.program, request.need):
             self._spawn(
                 self._ledger.top_up(
-                    question.program, question.budget, question.need
+                    request.program, request.budget, request.need
                 )
             )
 
-    def _settle(self, question: peer_messages.Settle) -> None:
+    def _settle(self, request: peer_messages.Settle) -> None:
         was_reserved = self._ledger.settle(
-            question.program, question.turn, question.used
+            request.program, request.turn, request.used
         )
         if not was_reserved:
-            _remember(self._shared, question.program)
-        _remember(self._ended, (question.program, question.turn))
+            _remember(self._reserved_elsewhere, request.program)
+        _remember(self._ended_turns, (request.program, request.turn))
         self._program_tracker.record_delay(
-            question.program,
-            question.session,
-            question.lost,
+            request.program,
+            request.session,
+            request.lost,
             self._timers.now(),
         )
-        if question.target is not None:
+        if request.target is not None:
             self._program_tracker.record_target(
-                question.program, question.session, question.target
+                request.program, request.session, request.target
             )
 
-    def _arrive(self, question: peer_messages.Reserve) -> outlook.Slack | None:
-        if question.time_left is None:
+    def _start_turn(
+        self, request: peer_messages.Reserve
+    ) -> outlook.Slack | None:
+        if request.time_left is None:
             return None
         return self._program_tracker.start_turn(
-            question.program,
-            question.session,
-            question.route,
-            question.time_left,
+            request.program,
+            request.session,
+            request.route,
+            request.time_left,
             self._timers.now(),
         )
 
-    def _make_reservation(
-        self, question: peer_messages.Reserve
-    ) -> Reservation:
+    def _make_reservation(self, request: peer_messages.Reserve) -> Reservation:
         """Return a reservation made by this instance."""
-        granted = self._grant(question)
+        granted = self._make_granted(request)
         return Reservation(True, '', granted.slack, granted.target)
 
-    def _grant(self, question: peer_messages.Reserve) -> peer_messages.Granted:
+    def _make_granted(
+        self, request: peer_messages.Reserve
+    ) -> peer_messages.Granted:
         target = self._program_tracker.find_target(
-            question.program, question.session
+            request.program, request.session
         )
-        return peer_messages.Granted(self._arrive(question), target)
+        return peer_messages.Granted(self._start_turn(request), target)
 
     def handle_request(
-        self, question: peer_messages.Question
+        self, request: peer_messages.Question
     ) -> (
         peer_messages.Answer
         | typing.Coroutine[typing.Any, typing.Any, peer_messages.Answer]
     ):
         """Handle a request of another instance."""
-        match question:
+        match request:
             case peer_messages.Settle():
-                self._settle(question)
+                self._settle(request)
                 return peer_messages.Granted()
             case peer_messages.Transfer(program, tokens):
                 self._ledger.deposit(program, tokens)
                 return peer_messages.Granted()
-            case peer_messages.HandOver(program, asker):
-                _remember(self._shared, program)
+            case peer_messages.HandOver(program, requester):
+                _remember(self._reserved_elsewhere, program)
                 if self._ledger.has_unconfirmed_writes(program):
-                    return self._give_up_sure(program, asker)
-                return self._transfers.release(program, asker)
+                    return self._confirm_and_release(program, requester)
+                return self._transfers.release(program, requester)
             case peer_messages.Reserve(program, _, turn, need):
-                if (program, turn) in self._ended:
+                if (program, turn) in self._ended_turns:
                     return peer_messages.Unable(False)
-                self._charge(question)
+                self._charge_former_credit(request)
                 if self._ledger.try_reserve(program, turn, need):
-                    self._top_up(question)
-                    return self._grant(question)
+                    self._top_up(request)
+                    return self._make_granted(request)
                 if self.is_leaving and self._membership.list_eligible():
                     return peer_messages.Unable(False)
                 if self._ledger.is_store_unreachable:
-                    if self._give_credit(question):
-                        return self._grant(question)
+                    if self._give_credit(request):
+                        return self._make_granted(request)
                     return peer_messages.Unable(True)
-                return self._reserve_for_other(question)
+                return self._reserve_for_peer(request)
 
-    async def _give_up_sure(
-        self, program: str, asker: str
+    async def _confirm_and_release(
+        self, program: str, requester: str
     ) -> peer_messages.Answer:
         """Hand over tokens after confirming this instance's writes."""
         try:
             await self._ledger.confirm_writes(program)
         except store_module.StoreError:
             return peer_messages.Unable(True)
-        return self._transfers.release(program, asker)
+        return self._transfers.release(program, requester)
 
-    async def _reserve_for_other(
-        self, question: peer_messages.Reserve
+    async def _reserve_for_peer(
+        self, request: peer_messages.Reserve
     ) -> peer_messages.Answer:
-        deadline = self._timers.now() + HOME_PATIENCE
+        deadline = self._timers.now() + COORDINATOR_TIMEOUT_SECONDS
         try:
-            outcome = await self._reserve_from_store(question, deadline)
+            outcome = await self._reserve_from_store(request, deadline)
         except store_module.StoreError:
             return peer_messages.Unable(True)
         if outcome is ledger_module.Outcome.SPENT:
             return peer_messages.Spent()
-        if (question.program, question.turn) in self._ended:
+        if (request.program, request.turn) in self._ended_turns:
             # The requesting instance has timed out and settled the turn.
-            self._ledger.settle(question.program, question.turn, 0)
+            self._ledger.settle(request.program, request.turn, 0)
             return peer_messages.Unable(False)
-        return self._grant(question)
+        return self._make_granted(request)
--- a/libs/gateway/vanillayoke/gateway/retries.py
+++ b/libs/gateway/vanillayoke/gateway/retries.py
@@ -25,20 +25,22 @@
     the value of the row. Raise the last ``StoreError`` when the deadline
     passes or the store is unreachable.
     """
-    pause = INITIAL_BACKOFF_SECONDS
+    backoff = INITIAL_BACKOFF_SECONDS
     while True:
-        left = deadline - timer_service.now()
+        remaining = deadline - timer_service.now()
         try:
             return await store.transact(
                 transaction,
-                max(MIN_ATTEMPT_SECONDS, min(left, compute_timeout(store))),
+                max(
+                    MIN_ATTEMPT_SECONDS, min(remaining, compute_timeout(store))
+                ),
             )
         except store_module.StoreError:
-            pause = min(MAX_BACKOFF_SECONDS, pause * 2)
-            left = deadline - timer_service.now()
-            if left <= pause or store.is_closed:
+            backoff = min(MAX_BACKOFF_SECONDS, backoff * 2)
+            remaining = deadline - timer_service.now()
+            if remaining <= backoff or store.is_closed:
                 raise
-            await store.wait_open(pause)
+            await store.wait_open(backoff)
 
 
 def compute_timeout(store: store_module.StoreClient) -> float:
--- a/libs/gateway/vanillayoke/gateway/sweeping.py
+++ b/libs/gateway/vanillayoke/gateway/sweeping.py
@@ -25,12 +25,12 @@
 SWEEP_INTERVAL_SECONDS = 600.0
 # Rows are kept longer than the retention of the routes, since clocks differ
 # and a program may be about to continue.
-KEPT_TIMES = 2.0
-KEPT_MARGIN = 60.0
-MOST_REMOVED = 50
-PATIENCE = 2.0
+RETENTION_FACTOR = 2.0
+RETENTION_MARGIN_SECONDS = 60.0
+MAX_REMOVED_ROWS = 50
+STORE_TIMEOUT_SECONDS = 2.0
 
-_BUDGETS = msgspec.msgpack.Decoder(grants.BudgetRow)
+_BUDGET_DECODER = msgspec.msgpack.Decoder(grants.BudgetRow)
 
 
 class Sweeper:
@@ -41,13 +41,13 @@
         instance: str,
         store: store_module.StoreClient,
         catalog: catalog_module.Catalog,
-        list_members: rendezvous.ListPeers,
+        list_eligible: rendezvous.ListPeers,
         timer_service: timers.TimerService,
     ) -> None:
         self._instance = instance
         self._store = store
         self._catalog = catalog
-        self._list_members = list_members
+        self._list_eligible = list_eligible
         self._timers = timer_service
         self.removed_count = 0
 
@@ -58,54 +58,58 @@
                 await self._timers.sleep(
                     SWEEP_INTERVAL_SECONDS / partitions.PARTITION_COUNT
                 )
-                await self._visit(partitions.name_partition(index))
+                await self._sweep_partition(partitions.name_partition(index))
 
-    async def _visit(self, part: str) -> None:
-        home = rendezvous.find_coordinator(part, self._list_members())
-        if home is None or home.instance != self._instance:
+    async def _sweep_partition(self, partition: str) -> None:
+        coordinator = rendezvous.find_coordinator(
+            partition, self._list_eligible()
+        )
+        if coordinator is None or coordinator.instance != self._instance:
             return
         if self._store.is_away or self._catalog.configuration is None:
             return
         for table, read_time in _TABLES:
             try:
-                await self._sweep(table, part, read_time)
+                await self._sweep_table(table, partition, read_time)
             except store_module.StoreError:
                 # The next sweep tries again.
                 return
 
-    async def _sweep(
+    async def _sweep_table(
         self,
         table: str,
-        part: str,
+        partition: str,
         read_time: typing.Callable[[bytes], float | None],
     ) -> None:
-        page = await self._store.read(table, part, PATIENCE)
-        limit = self._timers.wall() - self._find_age()
-        old = [
+        page = await self._store.read(table, partition, STORE_TIMEOUT_SECONDS)
+        cutoff = self._timers.wall() - self._get_max_age()
+        expired = [
             row
             for row in page.rows
-            if (time := read_time(row.value)) is not None and time < limit
-        ][:MOST_REMOVED]
-        if not old:
+            if (time := read_time(row.value)) is not None and time < cutoff
+        ][:MAX_REMOVED_ROWS]
+        if not expired:
             return
         transaction = messages.Transaction(
-            tuple((row.where, row.version) for row in old),
-            removals=tuple(row.where for row in old),
+            tuple((row.where, row.version) for row in expired),
+            removals=tuple(row.where for row in expired),
+        )
+        outcome = await self._store.transact(
+            transaction, STORE_TIMEOUT_SECONDS
         )
-        outcome = await self._store.transact(transaction, PATIENCE)
         if isinstance(outcome, messages.Committed):
-            self.removed_count += len(old)
+            self.removed_count += len(expired)
 
-    def _find_age(self) -> float:
+    def _get_max_age(self) -> float:
         routes = self._catalog.configuration.routes
-        longest = max((route.retention for route in routes), default=0.0)
-        return KEPT_TIMES * longest + KEPT_MARGIN
+        max_retention = max((route.retention for route in routes), default=0.0)
+        return RETENTION_FACTOR * max_retention + RETENTION_MARGIN_SECONDS
 
 
 def read_budget_time(value: bytes) -> float | None:
     """Return when a row was written; ``None`` if it can't be decoded."""
     try:
-        return _BUDGETS.decode(value).time
+        return _BUDGET_DECODER.decode(value).time
     except msgspec.DecodeError:
         return None
 
--- a/libs/gateway/vanillayoke/gateway/token_transfers.py
+++ b/libs/gateway/vanillayoke/gateway/token_transfers.py
@@ -19,29 +19,29 @@
 # Instances that are asked for a program's tokens besides those named by its
 # row, in order of their scores: a stopping instance transfers its tokens to
 # the highest-ranked instance that it knows.
-MOST_RANKED = 2
-COLLECTING_PATIENCE = 0.5
+MAX_RANKED_HOLDERS = 2
+COLLECT_TIMEOUT_SECONDS = 0.5
 # A holder may have to read the store before it responds.
-ANSWER_PATIENCE = 1.0
-FORMER_PATIENCE = 0.15
+RESPONSE_TIMEOUT_SECONDS = 1.0
+FORMER_COORDINATOR_TIMEOUT_SECONDS = 0.15
 # How long a stopping instance waits for acknowledgements; transfers are still
 # repeated afterwards.
-HANDING_PATIENCE = 0.3
+HAND_OVER_TIMEOUT_SECONDS = 0.3
 # Delay before an empty search is repeated, since tokens may be in transit.
-CONFIRMING_PAUSE = 0.15
+CONFIRMATION_DELAY_SECONDS = 0.15
 # How long an empty search is valid.
-SEARCH_PAUSE = 0.5
-MOST_SEARCHES = 1000
+SEARCH_VALIDITY_SECONDS = 0.5
+MAX_SEARCHES = 1000
 # Programs for which receivers of tokens are remembered, and receivers of each.
-MOST_HANDED_ON = 2000
-MOST_RECEIVERS = 4
+MAX_TRANSFERRED_PROGRAMS = 2000
+MAX_RECEIVERS = 4
 
 
 class _Search(typing.NamedTuple):
     """A search that found no tokens at other instances."""
 
-    at: float
-    silent: tuple[str, ...]
+    searched_at: float
+    unresponsive: tuple[str, ...]
 
 
 class TokenTransfers:
@@ -61,7 +61,7 @@
         self._timers = timer_service
         self._spawn = spawn
         self._peers: peers_module.Peers | None = None
-        self._running: dict[str, asyncio.Future[bool]] = {}
+        self._pending: dict[str, asyncio.Future[bool]] = {}
         self._searches: collections.OrderedDict[str, _Search] = (
             collections.OrderedDict()
         )
@@ -81,36 +81,36 @@
         """
         # Only live instances: tokens sent to one that is listed in the store
         # and never started would be lost.
-        others = self._drop_self(self._membership.list_live_eligible())
+        others = self._exclude_self(self._membership.list_live_eligible())
         programs = self._ledger.list_with_free_tokens()
         if others:
             await self._wait_within(
-                HANDING_PATIENCE,
+                HAND_OVER_TIMEOUT_SECONDS,
                 [self._transfer(program, others) for program in programs],
             )
         return len(programs)
 
-    def release(self, program: str, asker: str) -> peer_messages.Handed:
+    def release(self, program: str, requester: str) -> peer_messages.Handed:
         """Release the free tokens; return them with their former receivers.
 
         While all instances are leaving, their membership views differ. Tokens
         may then move to instances that no row names and that rank too low to
         be asked. A search finds these through the receivers returned here.
         """
-        before = self._receivers.get(program, ())
+        former_receivers = self._receivers.get(program, ())
         tokens = self._ledger.withdraw(program)
-        if tokens > 0 and asker:
-            self._note_receiver(program, asker)
-        return peer_messages.Handed(tokens, before)
+        if tokens > 0 and requester:
+            self._record_receiver(program, requester)
+        return peer_messages.Handed(tokens, former_receivers)
 
-    def _note_receiver(self, program: str, receiver: str) -> None:
+    def _record_receiver(self, program: str, receiver: str) -> None:
         others = [
             one for one in self._receivers.get(program, ()) if one != receiver
         ]
-        self._receivers[program] = (*others[1 - MOST_RECEIVERS :], receiver)
+        self._receivers[program] = (*others[1 - MAX_RECEIVERS :], receiver)
         self._receivers.move_to_end(program)
-        if len(self._receivers) > MOST_HANDED_ON:
-            self._receivers.popitem(last=False)
+        if len(self._receivers) > MAX_TRANSFERRED_PROGRAMS:
+            self._receivers.popitem(previous=False)
 
     async def collect(self, program: str, deadline: float) -> bool:
         """Collect tokens from other instances; return whether there were any.
@@ -120,89 +120,97 @@
         after the other instances have been asked. Raise
         ``StoreRefusedError`` if one of them does not respond.
         """
-        running = self._running.get(program)
-        if running is None:
-            running = asyncio.ensure_future(self._collect(program, deadline))
-            self._running[program] = running
-            running.add_done_callback(lambda _: self._running.pop(program))
-        if await asyncio.shield(running):
+        pending = self._pending.get(program)
+        if pending is None:
+            pending = asyncio.ensure_future(self._collect(program, deadline))
+            self._pending[program] = pending
+            pending.add_done_callback(lambda _: self._pending.pop(program))
+        if await asyncio.shield(pending):
             return True
-        silent = self._searches[program].silent
-        if silent:
+        unresponsive = self._searches[program].unresponsive
+        if unresponsive:
             raise store_module.StoreRefusedError(
-                f'what {", ".join(silent)} hold of the budget is not known'
+                f'no response from {", ".join(unresponsive)} about the budget'
             )
         return False
 
     async def _collect(self, program: str, deadline: float) -> bool:
         now = self._timers.now()
-        last = self._searches.get(program)
-        if last is not None and now - last.at < SEARCH_PAUSE:
+        previous = self._searches.get(program)
+        if (
+            previous is not None
+            and now - previous.searched_at < SEARCH_VALIDITY_SECONDS
+        ):
             return False
-        patience = max(0.0, min(COLLECTING_PATIENCE, deadline - now))
-        if await self._search(program, patience):
+        timeout_seconds = max(
+            0.0, min(COLLECT_TIMEOUT_SECONDS, deadline - now)
+        )
+        if await self._search(program, timeout_seconds):
             return True
-        if self._searches[program].silent:
+        if self._searches[program].unresponsive:
             return False
         # Tokens in transit between two other instances arrive meanwhile.
-        await self._timers.sleep(CONFIRMING_PAUSE)
-        return await self._search(program, patience)
+        await self._timers.sleep(CONFIRMATION_DELAY_SECONDS)
+        return await self._search(program, timeout_seconds)
 
-    async def _search(self, program: str, patience: float) -> bool:
+    async def _search(self, program: str, timeout_seconds: float) -> bool:
         """Ask all possible holders; return whether any had tokens."""
-        named = self._name_holders(program)
-        holders = self._find_holders(program, named)
-        asked = {self._instance, *(one.instance for one in holders)}
-        self._ask_failed(program, named, asked)
-        found = await self._wait_within(
-            patience, [self._take_over(program, one, asked) for one in holders]
+        named = self._list_known_holders(program)
+        holders = self._list_possible_holders(program, named)
+        queried = {self._instance, *(one.instance for one in holders)}
+        self._query_failed(program, named, queried)
+        results = await self._wait_within(
+            timeout_seconds,
+            [self._collect_from(program, one, queried) for one in holders],
         )
-        silent = tuple(
+        unresponsive = tuple(
             one.instance
-            for one, tokens in zip(holders, found, strict=True)
+            for one, tokens in zip(holders, results, strict=True)
             if tokens is None
         )
-        if any(found):
+        if any(results):
             # Another instance may collect the tokens again at once; the
             # budget must not be reported spent without a further search.
             self._searches.pop(program, None)
             return True
-        self._searches[program] = _Search(self._timers.now(), silent)
+        self._searches[program] = _Search(self._timers.now(), unresponsive)
         self._searches.move_to_end(program)
-        if len(self._searches) > MOST_SEARCHES:
-            self._searches.popitem(last=False)
+        if len(self._searches) > MAX_SEARCHES:
+            self._searches.popitem(previous=False)
         return False
 
     async def _wait_within(
         self,
-        patience: float,
-        work: typing.Sequence[typing.Coroutine[typing.Any, typing.Any, int]],
+        timeout_seconds: float,
+        coroutines: typing.Sequence[
+            typing.Coroutine[typing.Any, typing.Any, int]
+        ],
     ) -> list[int | None]:
         """Return the results available in time, ``None`` for the others.
 
         The others continue: tokens that arrive later must not be dropped.
         """
-        tasks = [background.start(one, self._spawn) for one in work]
+        tasks = [background.start(one, self._spawn) for one in coroutines]
         if tasks:
-            await asyncio.wait(tasks, timeout=patience)
+            await asyncio.wait(tasks, timeout=timeout_seconds)
         return [one.result() if one.done() else None for one in tasks]
 
-    def _name_holders(self, program: str) -> set[str]:
+    def _list_known_holders(self, program: str) -> set[str]:
         """Return the instances known to have received tokens."""
         granted = (name for name, _ in self._ledger.list_holders(program))
         return {*granted, *self._receivers.get(program, ())}
 
-    def _find_holders(
+    def _list_possible_holders(
         self, program: str, named: set[str]
     ) -> list[rendezvous.Peer]:
         """Return the other instances that may hold tokens."""
-        others = self._drop_self(self._membership.list_reachable())
-        ranked = rendezvous.list_highest(program, others, MOST_RANKED)
-        wanted = named.union(one.instance for one in ranked)
-        return [one for one in others if one.instance in wanted]
+        others = self._exclude_self(self._membership.list_reachable())
+        ranked = rendezvous.list_highest(program, others, MAX_RANKED_HOLDERS)
+        possible = named.union(one.instance for one in ranked)
+        return [one for one in others if one.instance in possible]
 
-    def _ask_failed(
-        self, program: str, named: set[str], asked: set[str]
+    def _query_failed(
+        self, program: str, named: set[str], queried: set[str]
     ) -> None:
         """Ask holders regarded as failed, without waiting for them.
 
@@ -211,47 +219,48 @@
         search is repeated.
         """
         for one in self._membership.list_failed():
-            if one.instance in named and one.instance not in asked:
-                asked.add(one.instance)
-                self._spawn(self._take_over(program, one, asked))
+            if one.instance in named and one.instance not in queried:
+                queried.add(one.instance)
+                self._spawn(self._collect_from(program, one, queried))
 
-    async def _take_over(
-        self, program: str, holder: rendezvous.Peer, asked: set[str]
+    async def _collect_from(
+        self, program: str, holder: rendezvous.Peer, queried: set[str]
     ) -> int | None:
         """Collect the tokens of a holder and of those it transferred to.
 
-        ``asked`` names instances to leave out, and is extended. Return
+        ``queried`` names instances to leave out, and is extended. Return
         ``None`` if one does not respond and no tokens were collected.
         """
-        answer = await self._ask_for_tokens(program, holder)
-        if answer is None:
+        response = await self._request_tokens(program, holder)
+        if response is None:
             return None
         further = [
             one
             for one in self._membership.list_reachable()
-            if one.instance in answer.receivers and one.instance not in asked
+            if one.instance in response.receivers
+            and one.instance not in queried
         ]
-        asked.update(one.instance for one in further)
-        found = await asyncio.gather(
-            *(self._take_over(program, one, asked) for one in further)
+        queried.update(one.instance for one in further)
+        results = await asyncio.gather(
+            *(self._collect_from(program, one, queried) for one in further)
         )
-        taken = answer.tokens + sum(filter(None, found))
-        return None if not taken and None in found else taken
+        collected = response.tokens + sum(filter(None, results))
+        return None if not collected and None in results else collected
 
-    async def _ask_for_tokens(
+    async def _request_tokens(
         self, program: str, holder: rendezvous.Peer
     ) -> peer_messages.Handed | None:
-        answer = await self._peers.ask(
+        response = await self._peers.ask(
             holder.address,
             peer_messages.HandOver(program, self._instance),
-            self._timers.now() + ANSWER_PATIENCE,
+            self._timers.now() + RESPONSE_TIMEOUT_SECONDS,
             peers_module.LASTING_REPEATS,
         )
-        if not isinstance(answer, peer_messages.Handed):
+        if not isinstance(response, peer_messages.Handed):
             return None
-        if answer.tokens > 0:
-            self._ledger.deposit(program, answer.tokens)
-        return answer
+        if response.tokens > 0:
+            self._ledger.deposit(program, response.tokens)
+        return response
 
     async def collect_from_former(self, program: str) -> None:
         """Collect a program's tokens from its former coordinator.
@@ -261,13 +270,13 @@
         """
         if self._ledger.has_account(program):
             return
-        others = self._drop_self(self._membership.list_eligible())
+        others = self._exclude_self(self._membership.list_eligible())
         former = rendezvous.find_coordinator(program, others)
         if former is None:
             return
         await self._wait_within(
-            FORMER_PATIENCE,
-            [self._take_over(program, former, {self._instance})],
+            FORMER_COORDINATOR_TIMEOUT_SECONDS,
+            [self._collect_from(program, former, {self._instance})],
         )
 
     async def _transfer(
@@ -275,20 +284,20 @@
         program: str,
         others: typing.Sequence[rendezvous.Peer],
     ) -> int:
-        home = rendezvous.find_coordinator(program, others)
+        coordinator = rendezvous.find_coordinator(program, others)
         # Withdrawn before sending: a lost message loses tokens, but a late
         # one never counts them twice.
         tokens = self._ledger.withdraw(program)
-        self._note_receiver(program, home.instance)
+        self._record_receiver(program, coordinator.instance)
         await self._peers.ask(
-            home.address,
+            coordinator.address,
             peer_messages.Transfer(program, tokens),
             self._timers.now(),
             peers_module.LASTING_REPEATS,
         )
         return tokens
 
-    def _drop_self(
+    def _exclude_self(
         self, members: typing.Iterable[rendezvous.Peer]
     ) -> list[rendezvous.Peer]:
         return [one for one in members if one.instance != self._instance]
--- a/libs/programs/vanillayoke/programs/grants.py
+++ b/libs/programs/vanillayoke/programs/grants.py
@@ -38,7 +38,7 @@
 
     def add_holder(self, instance: str) -> 'BudgetRow':
         """Return the row with an instance as the latest holder."""
-        others = [one for one in self.holders if one[0] != instance]
+        others = [holder for holder in self.holders if holder[0] != instance]
         holders = (*others[1 - MAX_HOLDERS :], (instance, self.write_id))
         return msgspec.structs.replace(self, holders=holders)
 
@@ -117,33 +117,33 @@
     two turns would otherwise end having used little.
     """
     granted = 0 if row is None else row.granted
-    left = budget - granted
-    if need > left + extra:
+    remaining = budget - granted
+    if need > remaining + extra:
         return None
-    tokens = max(need, min(left, int(budget * GRANT_RATIO)))
+    tokens = max(need, min(remaining, int(budget * GRANT_RATIO)))
     holders = () if row is None else row.holders
     granted += tokens
     return Grant(BudgetRow(budget, granted, write_id, time, holders), tokens)
 
 
-def plan_credit(budget: int, known: int, owed: int, need: int) -> int:
+def plan_credit(budget: int, granted: int, owed: int, need: int) -> int:
     """Return the tokens to give on credit: ``need``, or 0 if too many.
 
-    ``known`` is the number of tokens known to be granted, and ``owed`` the
-    number already given on credit.
+    ``granted`` is the number of tokens that may have been granted, and
+    ``owed`` the number already given on credit.
     """
     limit = max(need, int(budget * CREDIT_RATIO))
-    left = min(limit - owed, budget - known - owed)
-    return need if 0 < need <= left else 0
+    remaining = min(limit - owed, budget - granted - owed)
+    return need if 0 < need <= remaining else 0
 
 
-def compute_charge(budget: int, most: int) -> int:
+def compute_charge(budget: int, max_tokens: int) -> int:
     """Return the tokens that a new coordinator charges to a program.
 
     This is the maximum that a failed predecessor can have given on credit
     without recording it.
     """
-    return max(most, int(budget * CREDIT_RATIO))
+    return max(max_tokens, int(budget * CREDIT_RATIO))
 
 
 def plan_return(
