--- a/libs/bench/vanillayoke/bench/tables.py
+++ b/libs/bench/vanillayoke/bench/tables.py
@@ -101,7 +101,7 @@
     bound = LONGEST_HOLD if rows <= MOST_INSTANCES else None
     yield Figure('first reading of instances', rows, taken, bound)
     taken = _measure(
-        lambda: rendezvous.find_coordinator('program', known.list_homes()),
+        lambda: rendezvous.find_coordinator('program', known.list_eligible()),
         ROUNDS,
     )
     yield Figure('home of a program', rows, taken, None)
--- a/libs/gateway/vanillayoke/gateway/access.py
+++ b/libs/gateway/vanillayoke/gateway/access.py
@@ -19,7 +19,7 @@
         self._timers = timer_service
         self._confirmed_at = float('-inf')
 
-    def note_confirmed(self) -> None:
+    def record_confirmation(self) -> None:
         """Note that the configuration in force is the newest one."""
         self._confirmed_at = self._timers.now()
 
@@ -50,7 +50,7 @@
         """Refuse all keys, if any may have been taken away since."""
         bounds = self._get_bounds()
         age = self._timers.now() - self._confirmed_at
-        if bounds.is_revocation_strict and age > bounds.revocation:
+        if bounds.is_revocation_strict and age > bounds.revocation_timeout:
             raise refusals.RefusalError(
                 refusals.Reason.UNCONFIRMED,
                 f'configuration {configuration.version} was confirmed'
--- a/libs/gateway/vanillayoke/gateway/coordinator_client.py
+++ b/libs/gateway/vanillayoke/gateway/coordinator_client.py
@@ -1,11 +1,10 @@
 """Requests to the coordinators of programs, skipping unresponsive ones."""
 
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import rendezvous
+import typing
 
 # The second instance in rank is asked if the first does not respond or is
 # leaving.
@@ -60,7 +59,7 @@
         coordinator: rendezvous.Peer,
         request: peer_messages.Reserve,
         deadline: float,
-    ) -> peer_messages.Answer | None:
+    ) -> peer_messages.Response | None:
         """Request a reservation; settle it if no final response arrives.
 
         The coordinator may have reserved or may do so later, and nothing else
@@ -68,7 +67,7 @@
         """
         response = peer_messages.Pending()
         try:
-            response = await self._peers.ask(
+            response = await self._peers.send_request(
                 coordinator.address, request, deadline
             )
             if response is None:
@@ -85,11 +84,11 @@
         self, address: str, request: peer_messages.Settle
     ) -> None:
         """Notify the instance that made a reservation that its turn ended."""
-        await self._peers.ask(
+        await self._peers.send_request(
             address,
             request,
             self._timers.now(),
-            peers_module.LASTING_REPEATS,
+            peers_module.LONG_RETRY_TIMEOUTS_SECONDS,
         )
 
     def prune(self) -> None:
--- a/libs/gateway/vanillayoke/gateway/ledger.py
+++ b/libs/gateway/vanillayoke/gateway/ledger.py
@@ -1,12 +1,5 @@
 """Grants of program budgets, recorded in the store by compare-and-set."""
 
-import asyncio
-import collections
-import enum
-import typing
-
-import msgspec
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import budget_accounts
 from vanillayoke.gateway import messages
@@ -14,6 +7,11 @@
 from vanillayoke.gateway import retries
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import grants
+import asyncio
+import collections
+import enum
+import msgspec
+import typing
 
 TABLE = 'budgets'
 # Accounts of programs idle for longer are dropped; the tokens left in them
@@ -64,12 +62,12 @@
     @property
     def is_store_unreachable(self) -> bool:
         """Whether the store can't be reached directly or through a relay."""
-        return self._store.is_closed
+        return self._store.is_unreachable
 
     @property
     def is_store_unavailable(self) -> bool:
         """Whether the store does not respond to this instance."""
-        return self._store.is_away
+        return self._store.is_unavailable
 
     def try_reserve(self, program: str, turn: str, need: int) -> bool:
         """Reserve from tokens already granted; return whether they suffice."""
@@ -461,7 +459,7 @@
             try:
                 decoded = _DECODER.decode(row.value)
             except msgspec.DecodeError as error:
-                raise store_module.StoreSilentError(
+                raise store_module.StoreOutcomeUnknownError(
                     f'budget row {row.where.key}: {error}'
                 ) from error
             version = row.version
--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -1,17 +1,15 @@
 """Accounts of the limits that this instance coordinates."""
 
-import asyncio
-import typing
-
-import msgspec
-import xxhash
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import partitions
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import store as store_module
 from vanillayoke.scheduling import quotas
+import asyncio
+import msgspec
+import typing
+import xxhash
 
 TABLE = 'limits'
 ACCOUNT_IDLE_SECONDS = 60.0
@@ -72,15 +70,15 @@
         self._spawn = spawn
         self._find_lost_share = find_lost_share
         self._is_leaving = is_leaving
-        self._needs = quotas.Needs()
+        self._needs = quotas.ProgramStatistics()
         self._entries: dict[str, _Entry] = {}
 
     def handle_request(
-        self, report: peer_messages.Usage
+        self, report: peer_messages.UsageReport
     ) -> (
-        peer_messages.Standing
-        | peer_messages.Unable
-        | typing.Coroutine[typing.Any, typing.Any, peer_messages.Standing]
+        peer_messages.LimitStatus
+        | peer_messages.Unavailable
+        | typing.Coroutine[typing.Any, typing.Any, peer_messages.LimitStatus]
     ):
         """Record the reported usage and decide on the request, if any.
 
@@ -88,20 +86,20 @@
         at once: two instances that admit concurrently would admit too much.
         """
         if self._is_leaving():
-            return peer_messages.Unable(False)
+            return peer_messages.Unavailable(False)
         name = report.organisation
         entry = self._entries.get(name)
         if entry is None:
             entry = _Entry(quotas.Account(self._window, self._needs))
             self._entries[name] = entry
             self._start_loading(name, entry)
-        elif report.is_moved and self._is_settled(entry):
+        elif report.is_reassigned and self._is_settled(entry):
             # Another instance has been the coordinator meanwhile.
             self._start_loading(name, entry)
         self._record_usage(entry, report)
         if entry.loading is not None:
-            if report.asked is None:
-                return peer_messages.Standing(is_close=True)
+            if report.pending is None:
+                return peer_messages.LimitStatus(is_near_limit=True)
             return self._decide_when_loaded(entry, report)
         return self._decide(entry, report)
 
@@ -110,7 +108,7 @@
         now = self._timers.now()
         for name, entry in list(self._entries.items()):
             entry.account.window.prune(now)
-            if now - entry.account.seen > ACCOUNT_IDLE_SECONDS:
+            if now - entry.account.last_used_at > ACCOUNT_IDLE_SECONDS:
                 del self._entries[name]
 
     def _start_loading(self, name: str, entry: _Entry) -> None:
@@ -124,55 +122,55 @@
         return entry.loading is None and is_over
 
     def _record_usage(
-        self, entry: _Entry, report: peer_messages.Usage
+        self, entry: _Entry, report: peer_messages.UsageReport
     ) -> None:
         now = self._timers.now()
         account = entry.account
         account.set_limit(report.limit, report.version)
-        if report.is_whole:
-            account.window.forget(report.reporter)
-        for record in report.used:
-            at = now - record.age / 1000
+        if report.is_full:
+            account.window.remove_reporter(report.reporter)
+        for record in report.records:
+            at = now - record.age_ms / 1000
             account.window.add(report.reporter, at, record.count)
-            asked = quotas.Asked(record.program, record.route)
-            account.note(asked, record.count, now)
+            asked = quotas.AdmissionRequest(record.program, record.route)
+            account.record(asked, record.count, now)
             entry.unsaved_count += record.count
-        account.seen = now
+        account.last_used_at = now
 
     async def _decide_when_loaded(
-        self, entry: _Entry, report: peer_messages.Usage
-    ) -> peer_messages.Standing:
+        self, entry: _Entry, report: peer_messages.UsageReport
+    ) -> peer_messages.LimitStatus:
         if entry.loading is not None:
             await asyncio.wait((entry.loading,))
         return self._decide(entry, report)
 
     def _decide(
-        self, entry: _Entry, report: peer_messages.Usage
-    ) -> peer_messages.Standing:
+        self, entry: _Entry, report: peer_messages.UsageReport
+    ) -> peer_messages.LimitStatus:
         now = self._timers.now()
         account = entry.account
         if now >= entry.settled_at:
             lost = self._find_lost_share()
-            reserve = quotas.find_reserve(account.limit, lost, entry.is_loaded)
+            reserve = quotas.get_reserve(account.limit, lost, entry.is_loaded)
         else:
-            reserve = quotas.find_first_reserve(account.limit, entry.is_loaded)
+            reserve = quotas.get_initial_reserve(account.limit, entry.is_loaded)
         account.reserve = reserve
-        standing = peer_messages.Standing(False)
-        if report.asked is not None:
-            asked = quotas.Asked(*report.asked)
-            match account.ask(report.reporter, asked, now):
+        standing = peer_messages.LimitStatus(False)
+        if report.pending is not None:
+            asked = quotas.AdmissionRequest(*report.pending)
+            match account.request_admission(report.reporter, asked, now):
                 case quotas.Refused() as refusal:
-                    standing = peer_messages.Standing(
+                    standing = peer_messages.LimitStatus(
                         False,
                         _describe(refusal, account),
-                        refusal.pause,
+                        refusal.retry_after,
                         refusal.is_new,
                     )
                 case quotas.Admitted():
                     entry.unsaved_count += 1
         self._schedule_save(report.organisation, entry)
         return msgspec.structs.replace(
-            standing, is_close=account.is_close(now)
+            standing, is_near_limit=account.is_near_limit(now)
         )
 
     # The store
@@ -188,7 +186,7 @@
         now = self._timers.now()
         if saved is not None:
             age = max(0.0, self._timers.wall() - saved.time)
-            entry.account.window.inherit(
+            entry.account.window.restore(
                 (now - age - one, count) for one, count in saved.counts
             )
         entry.loading = None
@@ -198,7 +196,7 @@
         row_key = _make_row_key(name)
         page = await self._store.read(
             TABLE,
-            row_key.part,
+            row_key.partition,
             READ_TIMEOUT_SECONDS,
             row_key.key,
             row_key.key + '\0',
@@ -213,7 +211,7 @@
 
     def _schedule_save(self, name: str, entry: _Entry) -> None:
         account = entry.account
-        max_unsaved = quotas.SAVED_SHARE * account.limit.tolerance
+        max_unsaved = quotas.SAVE_RATIO * account.limit.tolerance
         if entry.is_saving or entry.unsaved_count <= max_unsaved:
             return
         entry.is_saving = True
--- a/libs/gateway/vanillayoke/gateway/limits.py
+++ b/libs/gateway/vanillayoke/gateway/limits.py
@@ -6,10 +6,6 @@
 coordinator afterwards; otherwise it asks first.
 """
 
-import asyncio
-import collections
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import messages
@@ -18,6 +14,9 @@
 from vanillayoke.gateway import refusals
 from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import quotas
+import asyncio
+import collections
+import typing
 
 # Distinguishes the keys of limits from those of programs.
 KEY_PREFIX = 'limit/'
@@ -25,7 +24,7 @@
 REPORT_DELAY_SECONDS = 0.25
 # The share of the tolerance that all instances together may admit without
 # reporting, assuming that each admits as many requests as this one.
-UNREPORTED_RATIO = 1.0 - quotas.SAVED_SHARE
+UNREPORTED_RATIO = 1.0 - quotas.SAVE_RATIO
 # How long a response of the coordinator is valid.
 STATUS_LIFETIME_SECONDS = 1.0
 MAX_COORDINATORS = 3
@@ -44,7 +43,7 @@
     """A request counted as used, and the time since it counts."""
 
     organisation: str
-    request: quotas.Asked
+    request: quotas.AdmissionRequest
     at: float
 
 
@@ -54,7 +53,9 @@
     __slots__ = ('at', 'request', 'count', 'is_reported')
 
     def __init__(
-        self, at: float, request: quotas.Asked, count: int, is_reported: bool
+        self,
+        at: float, request: quotas.AdmissionRequest,
+        count: int, is_reported: bool,
     ) -> None:
         self.at = at
         self.request = request
@@ -80,7 +81,7 @@
     def add(
         self,
         at: float,
-        request: quotas.Asked,
+        request: quotas.AdmissionRequest,
         count: int,
         is_reported: bool = False,
     ) -> None:
@@ -157,7 +158,7 @@
     async def admit(
         self,
         organisation: messages.Organisation | None,
-        request: quotas.Asked,
+        request: quotas.AdmissionRequest,
         deadline: float,
     ) -> Admission | None:
         """Count a request as used; return ``None`` if there is no limit.
@@ -217,7 +218,7 @@
         self,
         organisation: str,
         usage: _Usage,
-        request: quotas.Asked,
+        request: quotas.AdmissionRequest,
         deadline: float,
     ) -> None:
         """Ask until the request is admitted or can't be before the deadline.
@@ -229,21 +230,23 @@
             if response is None:
                 self._admit_isolated(usage, request)
                 return
-            if response.refused is None:
+            if response.refusal_reason is None:
                 # The coordinator has counted the request already.
                 usage.add(self._timers.now(), request, 1, is_reported=True)
                 self._usages[organisation] = usage
                 return
             now = self._timers.now()
-            if response.is_new or now + response.pause > deadline:
+            if response.is_new_program or now + response.retry_after > deadline:
                 raise refusals.RefusalError(
                     refusals.Reason.OVER_LIMIT,
-                    f'{response.refused}; counted by {usage.coordinator}',
-                    response.pause,
+                    f'{response.refusal_reason}; counted by {usage.coordinator}',
+                    response.retry_after,
                 )
-            await self._timers.sleep(response.pause)
+            await self._timers.sleep(response.retry_after)
 
-    def _admit_isolated(self, usage: _Usage, request: quotas.Asked) -> None:
+    def _admit_isolated(
+        self, usage: _Usage, request: quotas.AdmissionRequest
+    ) -> None:
         """Admit this instance's even share of the tolerance.
 
         No coordinator responds, and the limit may be used up. A share of less
@@ -283,8 +286,10 @@
             await self._send_report(organisation, usage, None)
 
     async def _send_report(
-        self, organisation: str, usage: _Usage, request: quotas.Asked | None
-    ) -> peer_messages.Standing | None:
+        self,
+        organisation: str,
+        usage: _Usage, request: quotas.AdmissionRequest | None,
+    ) -> peer_messages.LimitStatus | None:
         """Report unreported requests to the coordinator; return its response.
 
         Return ``None`` if no instance responds.
@@ -297,8 +302,8 @@
                 organisation, usage, coordinator, request
             )
             response = await self._deliver(coordinator, report)
-            if isinstance(response, peer_messages.Standing):
-                usage.is_close = response.is_close
+            if isinstance(response, peer_messages.LimitStatus):
+                usage.is_close = response.is_near_limit
                 usage.is_cut_off = False
                 usage.responded_at = self._timers.now()
                 return response
@@ -315,8 +320,8 @@
         organisation: str,
         usage: _Usage,
         coordinator: str,
-        request: quotas.Asked | None,
-    ) -> peer_messages.Usage:
+        request: quotas.AdmissionRequest | None,
+    ) -> peer_messages.UsageReport:
         now = self._timers.now()
         usage.prune(now - self._window)
         is_whole = usage.coordinator != coordinator
@@ -324,13 +329,13 @@
             usage.coordinator is not None or usage.has_changed_coordinator
         )
         usage.coordinator = coordinator
-        return peer_messages.Usage(
+        return peer_messages.UsageReport(
             organisation,
             self._reporter,
             usage.limit,
             usage.version,
             tuple(
-                peer_messages.Used(
+                peer_messages.UsageRecord(
                     round((now - entry.at) * 1000),
                     entry.request.program,
                     entry.request.route,
@@ -344,8 +349,8 @@
         )
 
     async def _deliver(
-        self, coordinator: str, report: peer_messages.Usage
-    ) -> peer_messages.Answer | None:
+        self, coordinator: str, report: peer_messages.UsageReport
+    ) -> peer_messages.Response | None:
         if coordinator == self._instance:
             response = self._accounts.handle_request(report)
             if asyncio.iscoroutine(response):
@@ -353,7 +358,7 @@
             return response
         address = self._find_address(coordinator)
         deadline = self._timers.now() + limit_accounts.READ_TIMEOUT_SECONDS
-        return await self._peers.ask(address, report, deadline)
+        return await self._peers.send_request(address, report, deadline)
 
     def _find_address(self, coordinator: str) -> str:
         return next(
--- a/libs/gateway/vanillayoke/gateway/program_tracking.py
+++ b/libs/gateway/vanillayoke/gateway/program_tracking.py
@@ -1,9 +1,8 @@
 """Per-program state at its coordinator: time lost and recent targets."""
 
+from vanillayoke.scheduling import program_slack
 import collections
 
-from vanillayoke.scheduling import outlook
-
 # Programs idle for longer are regarded as ended.
 IDLE_SECONDS = 3.0
 # How long the state of an idle program is kept, in case it continues.
@@ -14,14 +13,14 @@
     """Tracks the programs that this instance coordinates."""
 
     def __init__(self) -> None:
-        self._clocks: collections.OrderedDict[str, outlook.ProgramClock] = (
-            collections.OrderedDict()
-        )
+        self._clocks: collections.OrderedDict[
+            str, program_slack.DelayTracker
+        ] = collections.OrderedDict()
         self._routes: dict[str, str] = {}
         # The target of the last turn by program and session; the session ''
         # stands for the program's last turn in any session.
         self._targets: dict[str, dict[str, str]] = {}
-        self._shares: dict[str, outlook.IdleShare] = {}
+        self._shares: dict[str, program_slack.IdleTimeRatio] = {}
 
     def start_turn(
         self,
@@ -30,16 +29,18 @@
         route: str,
         time_left: float,
         now: float,
-    ) -> outlook.Slack:
+    ) -> program_slack.Slack:
         """Record the start of a turn; return the slack of its session."""
         clock = self._clocks.get(program)
         if clock is None:
-            clock = outlook.ProgramClock(session, now, time_left)
+            clock = program_slack.DelayTracker(session, now, time_left)
             self._clocks[program] = clock
             self._routes[program] = route
-        clock.arrive(session, now, time_left)
+        clock.start_turn(session, now, time_left)
         self._clocks.move_to_end(program)
-        return clock.estimate(session, now, self._find_share(route).value)
+        return clock.estimate_slack(
+            session, now, self._find_share(route).value
+        )
 
     def record_delay(
         self, program: str, session: str, seconds: float, now: float
@@ -47,7 +48,7 @@
         """Record the time that a turn lost to waiting."""
         clock = self._clocks.get(program)
         if clock is not None:
-            clock.lose(session, seconds, now)
+            clock.record_delay(session, seconds, now)
 
     def record_target(self, program: str, session: str, target: str) -> None:
         """Record the target at which a turn was completed."""
@@ -66,7 +67,7 @@
     def prune(self, now: float) -> None:
         """Learn from the programs that have ended, and drop old ones."""
         for program, clock in list(self._clocks.items()):
-            idle = now - clock.used_at
+            idle = now - clock.last_active_at
             if idle < IDLE_SECONDS:
                 return
             route = self._routes.pop(program, None)
@@ -76,8 +77,8 @@
                 del self._clocks[program]
                 self._targets.pop(program, None)
 
-    def _find_share(self, route: str) -> outlook.IdleShare:
+    def _find_share(self, route: str) -> program_slack.IdleTimeRatio:
         share = self._shares.get(route)
         if share is None:
-            share = self._shares[route] = outlook.IdleShare()
+            share = self._shares[route] = program_slack.IdleTimeRatio()
         return share
--- a/libs/gateway/vanillayoke/gateway/reservations.py
+++ b/libs/gateway/vanillayoke/gateway/reservations.py
@@ -7,10 +7,6 @@
 reserve do so from separate grants.
 """
 
-import asyncio
-import collections
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import background
 from vanillayoke.gateway import coordinator_client
@@ -22,7 +18,10 @@
 from vanillayoke.gateway import rendezvous
 from vanillayoke.gateway import store as store_module
 from vanillayoke.gateway import token_transfers
-from vanillayoke.scheduling import outlook
+from vanillayoke.scheduling import program_slack
+import asyncio
+import collections
+import typing
 
 # How long the store may take on behalf of another instance.
 COORDINATOR_TIMEOUT_SECONDS = 2.5
@@ -50,7 +49,7 @@
 
     is_granted: bool
     coordinator: str
-    slack: outlook.Slack | None
+    slack: program_slack.Slack | None
     target: str | None = None
 
 
@@ -163,9 +162,9 @@
                     return Reservation(
                         True, coordinator.address, slack, target
                     )
-                case peer_messages.Spent():
+                case peer_messages.BudgetExhausted():
                     return Reservation(False, coordinator.address, None)
-                case peer_messages.Unable(is_store=True):
+                case peer_messages.Unavailable(is_store_unavailable=True):
                     raise store_module.StoreRefusedError(
                         f'{coordinator.instance} could not reach the store'
                     )
@@ -234,7 +233,7 @@
         if self._timers.now() - self._started_at < JOIN_PERIOD_SECONDS:
             await self._transfers.collect_from_former(request.program)
         is_exclusive = self._is_exclusive(request.program)
-        if is_exclusive and request.may_owe:
+        if is_exclusive and request.allow_credit:
             if await self._reserve_or_give_credit(request):
                 return ledger_module.Outcome.GRANTED
         extra = 0
@@ -310,7 +309,7 @@
         never gets credit could otherwise be refused as spent at its first
         turn after one or two coordinators failed.
         """
-        if request.may_owe and request.program in self._uncharged:
+        if request.allow_credit and request.program in self._uncharged:
             del self._uncharged[request.program]
             self._ledger.charge_former_credit(
                 request.program, request.budget, request.need
@@ -336,7 +335,7 @@
 
     def _give_credit(self, request: peer_messages.Reserve) -> bool:
         """Reserve without the store, if that can't exceed the budget."""
-        if not request.may_owe or not self._is_exclusive(request.program):
+        if not request.allow_credit or not self._is_exclusive(request.program):
             return False
         tokens = self._ledger.reserve_on_credit(
             request.program, request.budget, request.turn, request.need
@@ -379,7 +378,7 @@
         self._program_tracker.record_delay(
             request.program,
             request.session,
-            request.lost,
+            request.delay,
             self._timers.now(),
         )
         if request.target is not None:
@@ -389,7 +388,7 @@
 
     def _start_turn(
         self, request: peer_messages.Reserve
-    ) -> outlook.Slack | None:
+    ) -> program_slack.Slack | None:
         if request.time_left is None:
             return None
         return self._program_tracker.start_turn(
@@ -414,10 +413,10 @@
         return peer_messages.Granted(self._start_turn(request), target)
 
     def handle_request(
-        self, request: peer_messages.Question
+        self, request: peer_messages.Request
     ) -> (
-        peer_messages.Answer
-        | typing.Coroutine[typing.Any, typing.Any, peer_messages.Answer]
+        peer_messages.Response
+        | typing.Coroutine[typing.Any, typing.Any, peer_messages.Response]
     ):
         """Handle a request of another instance."""
         match request:
@@ -434,41 +433,41 @@
                 return self._transfers.release(program, requester)
             case peer_messages.Reserve(program, _, turn, need):
                 if (program, turn) in self._ended_turns:
-                    return peer_messages.Unable(False)
+                    return peer_messages.Unavailable(False)
                 self._charge_former_credit(request)
                 if self._ledger.try_reserve(program, turn, need):
                     self._top_up(request)
                     return self._make_granted(request)
                 if self.is_leaving and self._membership.list_eligible():
-                    return peer_messages.Unable(False)
+                    return peer_messages.Unavailable(False)
                 if self._ledger.is_store_unreachable:
                     if self._give_credit(request):
                         return self._make_granted(request)
-                    return peer_messages.Unable(True)
+                    return peer_messages.Unavailable(True)
                 return self._reserve_for_peer(request)
 
     async def _confirm_and_release(
         self, program: str, requester: str
-    ) -> peer_messages.Answer:
+    ) -> peer_messages.Response:
         """Hand over tokens after confirming this instance's writes."""
         try:
             await self._ledger.confirm_writes(program)
         except store_module.StoreError:
-            return peer_messages.Unable(True)
+            return peer_messages.Unavailable(True)
         return self._transfers.release(program, requester)
 
     async def _reserve_for_peer(
         self, request: peer_messages.Reserve
-    ) -> peer_messages.Answer:
+    ) -> peer_messages.Response:
         deadline = self._timers.now() + COORDINATOR_TIMEOUT_SECONDS
         try:
             outcome = await self._reserve_from_store(request, deadline)
         except store_module.StoreError:
-            return peer_messages.Unable(True)
+            return peer_messages.Unavailable(True)
         if outcome is ledger_module.Outcome.SPENT:
-            return peer_messages.Spent()
+            return peer_messages.BudgetExhausted()
         if (request.program, request.turn) in self._ended_turns:
             # The requesting instance has timed out and settled the turn.
             self._ledger.settle(request.program, request.turn, 0)
-            return peer_messages.Unable(False)
+            return peer_messages.Unavailable(False)
         return self._make_granted(request)
--- a/libs/gateway/vanillayoke/gateway/retries.py
+++ b/libs/gateway/vanillayoke/gateway/retries.py
@@ -38,16 +38,17 @@
         except store_module.StoreError:
             backoff = min(MAX_BACKOFF_SECONDS, backoff * 2)
             remaining = deadline - timer_service.now()
-            if remaining <= backoff or store.is_closed:
+            if remaining <= backoff or store.is_unreachable:
                 raise
-            await store.wait_open(backoff)
+            await store.wait_before_retry(backoff)
 
 
 def compute_timeout(store: store_module.StoreClient) -> float:
     """Return the timeout of one call to the store, in seconds."""
     return min(
-        store_module.LONGEST_PATIENCE,
+        store_module.MAX_TIMEOUT_SECONDS,
         max(
-            MIN_TIMEOUT_SECONDS, store_module.PATIENCE_TIMES * store.usual_time
+            MIN_TIMEOUT_SECONDS,
+            store_module.TIMEOUT_FACTOR * store.average_latency,
         ),
     )
--- a/libs/gateway/vanillayoke/gateway/token_transfers.py
+++ b/libs/gateway/vanillayoke/gateway/token_transfers.py
@@ -4,10 +4,6 @@
 budget's row counts them as granted either way.
 """
 
-import asyncio
-import collections
-import typing
-
 from vanillayoke.core import timers
 from vanillayoke.gateway import background
 from vanillayoke.gateway import ledger as ledger_module
@@ -15,6 +11,9 @@
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import rendezvous
 from vanillayoke.gateway import store as store_module
+import asyncio
+import collections
+import typing
 
 # Instances that are asked for a program's tokens besides those named by its
 # row, in order of their scores: a stopping instance transfers its tokens to
@@ -90,7 +89,7 @@
             )
         return len(programs)
 
-    def release(self, program: str, requester: str) -> peer_messages.Handed:
+    def release(self, program: str, requester: str) -> peer_messages.HandedOver:
         """Release the free tokens; return them with their former receivers.
 
         While all instances are leaving, their membership views differ. Tokens
@@ -101,7 +100,7 @@
         tokens = self._ledger.withdraw(program)
         if tokens > 0 and requester:
             self._record_receiver(program, requester)
-        return peer_messages.Handed(tokens, former_receivers)
+        return peer_messages.HandedOver(tokens, former_receivers)
 
     def _record_receiver(self, program: str, receiver: str) -> None:
         others = [
@@ -249,14 +248,14 @@
 
     async def _request_tokens(
         self, program: str, holder: rendezvous.Peer
-    ) -> peer_messages.Handed | None:
-        response = await self._peers.ask(
+    ) -> peer_messages.HandedOver | None:
+        response = await self._peers.send_request(
             holder.address,
             peer_messages.HandOver(program, self._instance),
             self._timers.now() + RESPONSE_TIMEOUT_SECONDS,
-            peers_module.LASTING_REPEATS,
+            peers_module.LONG_RETRY_TIMEOUTS_SECONDS,
         )
-        if not isinstance(response, peer_messages.Handed):
+        if not isinstance(response, peer_messages.HandedOver):
             return None
         if response.tokens > 0:
             self._ledger.deposit(program, response.tokens)
@@ -289,11 +288,11 @@
         # one never counts them twice.
         tokens = self._ledger.withdraw(program)
         self._record_receiver(program, coordinator.instance)
-        await self._peers.ask(
+        await self._peers.send_request(
             coordinator.address,
             peer_messages.Transfer(program, tokens),
             self._timers.now(),
-            peers_module.LASTING_REPEATS,
+            peers_module.LONG_RETRY_TIMEOUTS_SECONDS,
         )
         return tokens
 
--- a/tests/gateway/test_all_leave.py
+++ b/tests/gateway/test_all_leave.py
@@ -5,13 +5,12 @@
 of the stops.
 """
 
+from tests.gateway import site_fixtures
+from vanillayoke.testing import fixtures
 import asyncio
 import collections
 import random
 
-from tests.gateway import sites
-from vanillayoke.testing import fixtures
-
 SEEDS = (31, 33, 37)
 INSTANCE_COUNT = 7
 CALLER_COUNT = 24
@@ -78,11 +77,11 @@
 
     async def _try(self, program, budget, route):
         site = self._site
-        request = site.name_request()
-        instance = self._source.choice(list(site.fronts))
+        request = site.make_request_id()
+        instance = self._source.choice(list(site.instances))
         # The maximum is counted while the turn may be running.
         self._used[program] += MAX_TURN_TOKENS
-        answer = await sites.try_turn(
+        answer = await site_fixtures.try_turn(
             site, instance, request, program, budget, MAX_TURN_TOKENS, route
         )
         if answer is None:
@@ -114,7 +113,7 @@
     await asyncio.sleep(3 + source.random())
     callers.is_ending = True
     stops = []
-    for front in list(site.fronts.values()):
+    for front in list(site.instances.values()):
         stops.append(asyncio.create_task(front.stop()))
         await asyncio.sleep(source.choice((0, 0.001, 0.003, 0.01, 0.05)))
     await asyncio.sleep(STOP_SECONDS)
@@ -138,4 +137,4 @@
     globals()[f'test_no_budget_is_withheld_{_seed}'] = _make_test(_seed)
 
 
-load_tests = fixtures.adapt(__name__, [sites])
+load_tests = fixtures.adapt(__name__, [site_fixtures])
--- a/tests/gateway/test_credit.py
+++ b/tests/gateway/test_credit.py
@@ -1,15 +1,13 @@
 """Tests of turns on credit while the store is unavailable."""
 
-import asyncio
-
-import msgspec
-
-from tests.gateway import sites
+from tests.gateway import site_fixtures
 from vanillayoke.gateway import exclusivity
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import rendezvous
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
+import asyncio
+import msgspec
 
 MAX_TOKENS = 40
 
@@ -17,14 +15,14 @@
 def _find_coordinator(site, program):
     members = [
         rendezvous.Peer(name, front.settings.front)
-        for name, front in site.fronts.items()
+        for name, front in site.instances.items()
     ]
     return rendezvous.find_coordinator(program, members).instance
 
 
-async def _stop_store(site, mode=store_module.Mode.RESET):
+async def _stop_store(site, mode=store_module.Mode.RESET_CONNECTION):
     # An earlier program, as on a site that has been running.
-    for name in site.fronts:
+    for name in site.instances:
         await site.turn(name, f'before-{name}', route='plan', program='old')
     site.store.mode = mode
     await asyncio.sleep(1.0)
@@ -81,7 +79,7 @@
     """A turn must start on credit while each store call takes 0.35 s."""
     await site.start(3)
     await _stop_store(site, store_module.Mode.SERVE)
-    site.store.delay = 0.35
+    site.store.response_delay = 0.35
     began = site.timers.now()
     answer = await _turn(site, 'i1', 1)
     case.assertEqual(200, answer.status)
@@ -99,11 +97,11 @@
     await site.start(3)
     await _stop_store(site)
     coordinator = _find_coordinator(site, 'new')
-    other = next(name for name in site.fronts if name != coordinator)
+    other = next(name for name in site.instances if name != coordinator)
     number = 0
     for number in range(8):
         await _turn(site, other, number)
-    sites.kill(site, network, coordinator)
+    site_fixtures.kill(site, network, coordinator)
     await asyncio.sleep(3.0)
     site.store.mode = store_module.Mode.SERVE
     await asyncio.sleep(1.0)
@@ -123,10 +121,10 @@
     await site.start(3)
     await _stop_store(site)
     coordinator = _find_coordinator(site, 'new')
-    other = next(name for name in site.fronts if name != coordinator)
+    other = next(name for name in site.instances if name != coordinator)
     for number in range(8):
         await _turn(site, other, number)
-    sites.kill(site, network, coordinator)
+    site_fixtures.kill(site, network, coordinator)
     await asyncio.sleep(3.0)
     site.store.mode = store_module.Mode.SERVE
     await asyncio.sleep(1.0)
@@ -146,7 +144,7 @@
     """
     await site.start(1)
     await site.turn('i1', 'before', route='plan', program='old')
-    ledger = site.fronts['i1']._ledger
+    ledger = site.instances['i1']._ledger
     number = 0
     while True:
         number += 1
@@ -159,7 +157,7 @@
     while site.store.lost_replies:
         case.assertFalse(task.done())
         await asyncio.sleep(0.001)
-    site.store.mode = store_module.Mode.RESET
+    site.store.mode = store_module.Mode.RESET_CONNECTION
     await task
     await asyncio.sleep(3.0)
     for n in range(number + 2, number + 10):
@@ -188,11 +186,11 @@
         status = (await _turn(site, 'i1', number)).status
     case.assertEqual(402, status)
     coordinator = _find_coordinator(site, 'new')
-    sites.kill(site, network, coordinator)
+    site_fixtures.kill(site, network, coordinator)
     await asyncio.sleep(3.0)
-    site.store.mode = store_module.Mode.RESET
+    site.store.mode = store_module.Mode.RESET_CONNECTION
     await asyncio.sleep(1.0)
-    other = next(iter(site.fronts))
+    other = next(iter(site.instances))
     answer = await _turn(site, other, number + 1)
     case.assertIn(answer.status, (402, 503))
     case.assertEqual([], site.list_runs(f'a{number + 1}'))
@@ -206,18 +204,18 @@
     """
     await site.start(3)
     await _stop_store(site)
-    for front in site.fronts.values():
+    for front in site.instances.values():
         front._exclusivity.record_interruption(site.timers.now())
-    for name, front in site.fronts.items():
+    for name, front in site.instances.items():
         # The store is unreachable, both directly and through relays.
-        front._store.availability.is_away = True
-        front._store._relays.close()
+        front._store.availability.is_unavailable = True
+        front._store._relays.pause()
         program = _find_program_coordinated_by(site, name)
         question = peer_messages.Reserve(
-            program, 800, 'turn', MAX_TOKENS, may_owe=True
+            program, 800, 'turn', MAX_TOKENS, allow_credit=True
         )
         case.assertEqual(
-            peer_messages.Unable(True),
+            peer_messages.Unavailable(True),
             front._reservations.handle_request(question),
         )
         case.assertEqual([], site.list_events(name, 'budget_on_credit'))
@@ -316,4 +314,4 @@
     case.assertFalse(tracker.is_exclusive(_find_program('i1'), 0.2, 0.2, 0.25))
 
 
-load_tests = fixtures.adapt(__name__, [sites])
+load_tests = fixtures.adapt(__name__, [site_fixtures])
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -1,9 +1,6 @@
 """Tests of limits across all instances of a site."""
 
-import asyncio
-import collections
-
-from tests.gateway import sites
+from tests.gateway import site_fixtures
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import limits as limits_module
 from vanillayoke.gateway import peer_messages
@@ -12,6 +9,8 @@
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
+import asyncio
+import collections
 
 WINDOW = 5.0
 RATE = 4
@@ -32,7 +31,7 @@
         configure(site, 2, rate, burst)
         await asyncio.sleep(0.2)
         for target in site.targets.values():
-            target.work = 0.001
+            target.service_time = 0.001
         return site
 
     return start
@@ -59,7 +58,7 @@
     found = collections.Counter()
     for number in range(count):
         more = {'program_id': program or f'{instance}-{number}'}
-        answer = await sites.call_whole(
+        answer = await site_fixtures.call_or_error(
             site, instance, 'order', key=key, **more
         )
         found[getattr(answer, 'status', None)] += 1
@@ -78,9 +77,9 @@
 def find_max_runs(site, window=WINDOW):
     """Return the maximum number of runs in any window, at all targets."""
     times = sorted(
-        run.at
+        run.started_at
         for target in site.targets.values()
-        for run in target.runs
+        for run in target.executions
         if run.headers.get(b'x-vanillayoke-tenant') == b'red'
     )
     return max(
@@ -164,7 +163,7 @@
     [coordinator, *others] = rank_coordinators()
     sending = asyncio.ensure_future(send_all(site, 100, 0.1, others))
     await asyncio.sleep(2.5)
-    sites.kill(site, network, coordinator)
+    site_fixtures.kill(site, network, coordinator)
     found = await sending
     case.assertGreater(found[429], 0)
     case.assertLessEqual(find_max_runs(site), LIMIT + TOLERANCE)
@@ -172,12 +171,12 @@
 
 async def _kill_all(site, network):
     """Kill all instances at once and start them again."""
-    hosts = {name: front.settings.ip for name, front in site.fronts.items()}
+    hosts = {name: front.settings.ip for name, front in site.instances.items()}
     for name in hosts:
-        sites.kill(site, network, name)
+        site_fixtures.kill(site, network, name)
     network.dark.clear()
     for name, host in hosts.items():
-        await site.add_front(name, host)
+        await site.add_instance(name, host)
     await asyncio.sleep(1.0)
 
 
@@ -211,7 +210,7 @@
 
 async def test_limit_holds_while_the_store_is_unavailable(case, limited_site):
     site = await limited_site()
-    site.store.mode = store_module.Mode.MUTE
+    site.store.mode = store_module.Mode.UNRESPONSIVE
     await asyncio.sleep(3.0)
     found = await send_all(site, 100, 0.1)
     case.assertLessEqual(find_max_runs(site), LIMIT * 1.1)
@@ -227,7 +226,8 @@
     for name in INSTANCES:
         if name != alone:
             network.cut(
-                site.fronts[alone].settings.ip, site.fronts[name].settings.ip
+                site.instances[alone].settings.ip,
+                site.instances[name].settings.ip,
             )
     await send_all(site, 100, 0.1)
     case.assertLessEqual(find_max_runs(site), LIMIT * 1.25)
@@ -239,7 +239,7 @@
     await site.start(len(names))
     configure(site, 2, rate=1, burst=5)
     await asyncio.sleep(0.2)
-    hosts = [site.fronts[name].settings.ip for name in names]
+    hosts = [site.instances[name].settings.ip for name in names]
     for one in hosts:
         for other in hosts:
             if one < other:
@@ -251,7 +251,9 @@
 def _request_admission(front, count=1):
     """Request admission as another instance does; return the responses."""
     limit = quotas.Limit(10.0, 0.0, 3.0, WINDOW)
-    question = peer_messages.Usage('red', 'x', limit, 2, asked=('p', ''))
+    question = peer_messages.UsageReport(
+        'red', 'x', limit, 2, pending=('p', '')
+    )
     return [
         front._limit_accounts.handle_request(question) for _ in range(count)
     ]
@@ -266,11 +268,11 @@
 ):
     """Two instances that admit concurrently would admit too much."""
     site = await limited_site()
-    coordinator = site.fronts[rank_coordinators()[0]]
+    coordinator = site.instances[rank_coordinators()[0]]
     stop = asyncio.ensure_future(coordinator.stop())
     await asyncio.sleep(0.1)
     case.assertEqual(
-        [peer_messages.Unable(False)], _request_admission(coordinator)
+        [peer_messages.Unavailable(False)], _request_admission(coordinator)
     )
     await stop
 
@@ -283,22 +285,22 @@
     It can't read the row, and no instance has reported yet.
     """
     site = await limited_site()
-    site.store.mode = store_module.Mode.BUSY
-    coordinator = site.fronts[rank_coordinators()[0]]
+    site.store.mode = store_module.Mode.UNAVAILABLE
+    coordinator = site.instances[rank_coordinators()[0]]
     answers = await _await_all(_request_admission(coordinator, 8))
-    admitted = sum(one.refused is None for one in answers)
+    admitted = sum(one.refusal_reason is None for one in answers)
     case.assertLessEqual(admitted, 3)
     await asyncio.sleep(limit_accounts.SETTLING_SECONDS + 0.1)
     [answer] = await _await_all(_request_admission(coordinator))
-    case.assertIsNone(answer.refused)
+    case.assertIsNone(answer.refusal_reason)
 
 
 async def test_account_is_saved_after_a_failed_write(case, limited_site):
     """An account must be saved again after a failed write."""
     site = await limited_site()
-    coordinator = site.fronts[rank_coordinators()[0]]
+    coordinator = site.instances[rank_coordinators()[0]]
     await _await_all(_request_admission(coordinator))
-    site.store.mode = store_module.Mode.BUSY
+    site.store.mode = store_module.Mode.UNAVAILABLE
     await _await_all(_request_admission(coordinator))
     await asyncio.sleep(0.5)
     site.store.mode = store_module.Mode.SERVE
@@ -311,7 +313,7 @@
 async def test_limit_is_available_while_all_instances_stop(case, limited_site):
     """Leaving instances must still admit calls on open connections."""
     site = await limited_site()
-    stops = [asyncio.ensure_future(f.stop()) for f in site.fronts.values()]
+    stops = [asyncio.ensure_future(f.stop()) for f in site.instances.values()]
     await asyncio.sleep(0.5)
     found = await send(site, 'i1', LIMIT, 0.05, program='one')
     case.assertEqual({200: LIMIT}, dict(found))
@@ -324,7 +326,7 @@
     configure(site, 3)
     await asyncio.sleep(WINDOW)
     for target in site.targets.values():
-        target.runs.clear()
+        target.executions.clear()
     await send_all(site, 50, 0.1)
     case.assertLessEqual(find_max_runs(site), LIMIT * 1.1)
 
@@ -332,7 +334,7 @@
 async def test_requests_that_did_not_run_are_not_counted(case, limited_site):
     """Turns refused for their budget must not count against the limit."""
     site = await limited_site()
-    spent = {'budget': 10, 'most': 40, 'route': 'plan', 'key': 'red-1'}
+    spent = {'budget': 10, 'max_tokens': 40, 'route': 'plan', 'key': 'red-1'}
     for number in range(60):
         answer = await site.turn('i1', f't{number}', **spent)
         case.assertEqual(402, answer.status)
@@ -346,7 +348,8 @@
     site = await limited_site()
     await send_all(site, 30)
     pages = [
-        front.measures.render().body.decode() for front in site.fronts.values()
+        front.metrics.render().body.decode()
+        for front in site.instances.values()
     ]
     [counted] = [
         line
@@ -356,4 +359,4 @@
     case.assertIn('red', counted)
 
 
-load_tests = fixtures.adapt(__name__, [sites])
+load_tests = fixtures.adapt(__name__, [site_fixtures])
--- a/tests/gateway/test_limits_rolls.py
+++ b/tests/gateway/test_limits_rolls.py
@@ -1,12 +1,11 @@
 """Tests of a limit while instances are replaced, cut off or lost."""
 
-import asyncio
-
 from tests.gateway import site as site_module
-from tests.gateway import sites
+from tests.gateway import site_fixtures
 from tests.gateway import test_limits
 from vanillayoke.scheduling import quotas
 from vanillayoke.testing import fixtures
+import asyncio
 
 INSTANCE_COUNT = 24
 GROUP_SIZE = 4
@@ -19,20 +18,20 @@
 
 async def _replace(site, names):
     """Stop some instances gracefully and start them again."""
-    fronts = [site.fronts.pop(name) for name in names]
+    fronts = [site.instances.pop(name) for name in names]
     await asyncio.gather(*(front.stop() for front in fronts))
     for front in fronts:
         settings = front.settings
-        await site.add_front(settings.instance, settings.ip)
+        await site.add_instance(settings.instance, settings.ip)
 
 
 async def _send_through(site, count, pause):
     """Send calls through the instances running at the time."""
     for number in range(count):
-        names = sorted(site.fronts)
+        names = sorted(site.instances)
         name = names[number * 7 % len(names)]
         asyncio.ensure_future(
-            sites.call_whole(
+            site_fixtures.call_or_error(
                 site, name, 'order', key='red-1', program_id=f'p{number % 9}'
             )
         )
@@ -75,7 +74,7 @@
         test_limits.configure(site, 2, RATE, BURST)
         await asyncio.sleep(0.2)
         for target in site.targets.values():
-            target.work = 0.001
+            target.service_time = 0.001
         return names
 
     return start
@@ -93,8 +92,8 @@
         for other in names:
             if one != other:
                 network.cut(
-                    site.fronts[one].settings.ip,
-                    site.fronts[other].settings.ip,
+                    site.instances[one].settings.ip,
+                    site.instances[other].settings.ip,
                 )
     await asyncio.sleep(5.0)
     network.heal()
@@ -111,11 +110,11 @@
     sending = asyncio.ensure_future(_send_through(site, 500, 0.02))
     await asyncio.sleep(3.0)
     for name in _rank_coordinators(names)[:9]:
-        sites.kill(site, network, name)
+        site_fixtures.kill(site, network, name)
     await sending
     most = test_limits.find_max_runs(site)
     case.assertLessEqual(most, MAX_RUNS)
     case.assertGreater(most, LIMIT * 0.8)
 
 
-load_tests = fixtures.adapt(__name__, [sites])
+load_tests = fixtures.adapt(__name__, [site_fixtures])
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -4,16 +4,14 @@
 at whichever instance holds them, and a budget must not be split.
 """
 
-import asyncio
-
-import msgspec
-
-from tests.gateway import sites
+from tests.gateway import site_fixtures
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.testing import fixtures
+import asyncio
+import msgspec
 
 BUDGET = 175
 MAX_TOKENS = 100
@@ -27,8 +25,8 @@
     The parts would be too small for a turn.
     """
     await site.start(3)
-    await site.turn('i1', 'first', program='new', budget=320, most=MAX_TOKENS)
-    for front in site.fronts.values():
+    await site.turn('i1', 'first', program='new', budget=320, max_tokens=MAX_TOKENS)
+    for front in site.instances.values():
         front._members.leave()
         front._reservations.is_leaving = True
     await asyncio.sleep(0.5)
@@ -39,7 +37,7 @@
                 f'a{number}',
                 program='new',
                 budget=320,
-                most=MAX_TOKENS,
+                max_tokens=MAX_TOKENS,
             )
             for number in range(5)
         )
@@ -58,7 +56,11 @@
     """Send turns that fit into the rest of the budget; return the answers."""
     return [
         await site.turn(
-            name, site.name_request(), program=program, budget=BUDGET, most=60
+            name,
+            site.make_request_id(),
+            program=program,
+            budget=BUDGET,
+            max_tokens=60,
         )
         for name in ('i2', 'i3', 'i2')
     ]
@@ -70,9 +72,9 @@
     It ranks last for the program, received the tokens of the coordinator and
     has no instance to transfer them to.
     """
-    program = sites.find_program('i1', 'i2', 'i3', 'i4')
+    program = site_fixtures.find_program_with_ranking('i1', 'i2', 'i3', 'i4')
     await site.start(4)
-    fronts = list(site.fronts.values())
+    fronts = list(site.instances.values())
     await _use_part_of_budget(fronts[0], program)
     for leaving in (fronts[:3], fronts[3:]):
         for front in leaving:
@@ -90,12 +92,12 @@
 
     It ranks low for the program and has not written the budget's row.
     """
-    program = sites.find_program('i1', 'i2', 'i3', 'i4')
+    program = site_fixtures.find_program_with_ranking('i1', 'i2', 'i3', 'i4')
     await site.start(4)
-    await _use_part_of_budget(site.fronts['i1'], program)
+    await _use_part_of_budget(site.instances['i1'], program)
     deadline = site.timers.now() + 1.0
     for name in ('i2', 'i4'):
-        holders = site.fronts[name]._reservations._transfers
+        holders = site.instances[name]._reservations._transfers
         case.assertTrue(await holders.collect(program, deadline))
     answers = await _send_turns(site, program)
     case.assertEqual([200] * 3, [answer.status for answer in answers])
@@ -106,16 +108,16 @@
 
     Instances that start at once regard later ones as failed for some seconds.
     """
-    program = sites.find_program('i1', 'i2')
+    program = site_fixtures.find_program_with_ranking('i1', 'i2')
     await site.start(2)
     await asyncio.sleep(reservations_module.JOIN_PERIOD_SECONDS)
-    await _use_part_of_budget(site.fronts['i2'], program)
-    members = site.fronts['i1']._members
-    failed = [one for one in members.list_homes() if one.instance == 'i2']
+    await _use_part_of_budget(site.instances['i2'], program)
+    members = site.instances['i1']._members
+    failed = [one for one in members.list_eligible() if one.instance == 'i2']
     members.list_reachable = lambda: []
     members.list_failed = lambda: failed
     question = peer_messages.Reserve(program, BUDGET, 'a', 120)
-    outcome = await site.fronts['i1']._reservations._reserve_from_store(
+    outcome = await site.instances['i1']._reservations._reserve_from_store(
         question, site.timers.now() + 2.0
     )
     case.assertIs(ledger_module.Outcome.GRANTED, outcome)
@@ -128,12 +130,12 @@
     instance.
     """
     names = ['i1', 'i2', 'i3', 'i4', 'i5']
-    program = sites.find_program(*names)
+    program = site_fixtures.find_program_with_ranking(*names)
     await site.start(5)
-    sites.kill(site, network, 'i1')
+    site_fixtures.kill(site, network, 'i1')
     answers = await asyncio.gather(
         *(
-            site.turn(name, site.name_request(), program=program)
+            site.turn(name, site.make_request_id(), program=program)
             for name in names[1:]
         )
     )
@@ -152,17 +154,23 @@
     names = ['i1', 'i2', 'i3', 'i4', 'i5']
     await site.start(5)
     for name in names:
-        sites.kill(site, network, name)
+        site_fixtures.kill(site, network, name)
     await asyncio.sleep(1.0)
     network.dark.clear()
-    await asyncio.gather(*(site.add_front(name) for name in names))
+    await asyncio.gather(*(site.add_instance(name) for name in names))
     await asyncio.sleep(0.1)
     answers = await asyncio.gather(
-        *(site.turn(name, site.name_request(), program='p') for name in names)
+        *(
+            site.turn(name, site.make_request_id(), program='p')
+            for name in names
+        )
     )
     case.assertEqual({200}, {answer.status for answer in answers})
     row = msgspec.msgpack.decode(site.store.list_table('budgets')['p'])
-    case.assertEqual(sites.rank('p', names)[:1], [name for name, _ in row[4]])
+    case.assertEqual(
+        site_fixtures.rank_coordinators('p', names)[:1],
+        [name for name, _ in row[4]],
+    )
 
 
 async def test_stop_transfers_nothing_to_an_instance_that_never_started(
@@ -172,7 +180,7 @@
 
     It is listed in the store and ranks highest for the program.
     """
-    program = sites.find_program('i9', 'i1', 'i2')
+    program = site_fixtures.find_program_with_ranking('i9', 'i1', 'i2')
     await site.start(2)
     row = messages.InstanceRow(
         instance='i9',
@@ -182,12 +190,14 @@
         front='10.1.0.9:8149',
         peer='10.1.0.9:7380',
     )
-    site.fronts['i1']._members.put_row('i9', msgspec.json.encode(row))
-    homes = site.fronts['i1']._members.list_homes()
+    site.instances['i1']._members.put_row('i9', msgspec.json.encode(row))
+    homes = site.instances['i1']._members.list_eligible()
     case.assertIn('i9', [one.instance for one in homes])
-    await _use_part_of_budget(site.fronts['i1'], program)
-    await site.fronts['i1']._reservations.hand_over()
-    case.assertEqual(BUDGET - 40, site.fronts['i2']._ledger.withdraw(program))
+    await _use_part_of_budget(site.instances['i1'], program)
+    await site.instances['i1']._reservations.hand_over()
+    case.assertEqual(
+        BUDGET - 40, site.instances['i2']._ledger.withdraw(program)
+    )
 
 
-load_tests = fixtures.adapt(__name__, [sites])
+load_tests = fixtures.adapt(__name__, [site_fixtures])
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -4,16 +4,14 @@
 The budget here is less than two turns, so that any lost tokens show.
 """
 
-import asyncio
-
-import msgspec
-
-from tests.gateway import sites
+from tests.gateway import site_fixtures
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers
 from vanillayoke.gateway import store as store_client
 from vanillayoke.testing import fixtures
+import asyncio
+import msgspec
 
 BUDGET = 175
 MAX_TOKENS = 100
@@ -25,7 +23,7 @@
         request,
         program=program,
         budget=BUDGET,
-        most=MAX_TOKENS,
+        max_tokens=MAX_TOKENS,
         previous='before',
     )
 
@@ -34,7 +32,7 @@
     """Kill all instances after a turn that is stored."""
     await site.start(1)
     answer = await site.turn('i1', 'before', program='old')
-    sites.kill(site, network, 'i1')
+    site_fixtures.kill(site, network, 'i1')
     await asyncio.sleep(1.0)
     return answer
 
@@ -55,16 +53,18 @@
     Instances join between a program's attempts, each of which is reserved
     and then refused because no engine accepts work.
     """
-    program = sites.find_program('i6', 'i5', 'i4', 'i3', 'i2')
+    program = site_fixtures.find_program_with_ranking(
+        'i6', 'i5', 'i4', 'i3', 'i2'
+    )
     await _kill_all(site, network)
     await _set_engine_states(site, are_draining=True)
-    await site.add_front('i2')
+    await site.add_instance('i2')
     await asyncio.sleep(1.0)
     answer = await _turn(site, 'i2', 'a1', program)
     case.assertEqual(503, answer.status)
     for number, joining in enumerate((('i3', 'i4'), ('i5', 'i6')), 2):
         for name in joining:
-            await site.add_front(name)
+            await site.add_instance(name)
         await asyncio.sleep(2.0)
         answer = await _turn(site, joining[0], f'a{number}', program)
         case.assertEqual(503, answer.status)
@@ -79,22 +79,22 @@
     Its turns never get credit, so that slow responses of the store must not
     reduce its budget at each new coordinator.
     """
-    program = sites.find_program('i3', 'i2')
+    program = site_fixtures.find_program_with_ranking('i3', 'i2')
     await _kill_all(site, network)
-    site.store.delay = 0.2
-    await site.add_front('i2')
+    site.store.response_delay = 0.2
+    await site.add_instance('i2')
     await asyncio.sleep(2.0)
-    site.store.delay = 0.004
+    site.store.response_delay = 0.004
     await _set_engine_states(site, are_draining=True)
     answer = await _turn(site, 'i2', 'a1', program)
     case.assertEqual(503, answer.status)
     # The tokens of the first coordinator are lost with it.
-    site.store.delay = 0.2
-    await site.add_front('i3')
+    site.store.response_delay = 0.2
+    await site.add_instance('i3')
     await asyncio.sleep(2.0)
-    sites.kill(site, network, 'i2')
+    site_fixtures.kill(site, network, 'i2')
     await asyncio.sleep(2.0)
-    site.store.delay = 0.004
+    site.store.response_delay = 0.004
     await _set_engine_states(site, are_draining=False)
     answer = await _turn(site, 'i3', 'a2', program)
     case.assertEqual(200, answer.status)
@@ -107,10 +107,10 @@
     """
     await site.start(3)
     program = 'new'
-    coordinator = sites.rank(program, site.fronts)[0]
-    other = next(name for name in site.fronts if name != coordinator)
-    site.store.delay = 0.3
-    front = site.fronts[other]
+    coordinator = site_fixtures.rank_coordinators(program, site.instances)[0]
+    other = next(name for name in site.instances if name != coordinator)
+    site.store.response_delay = 0.3
+    front = site.instances[other]
     question = peer_messages.Reserve(program, MAX_TOKENS, 'lost', MAX_TOKENS)
     deadline = site.timers.now() + 0.1
     task = asyncio.ensure_future(
@@ -119,9 +119,9 @@
     await asyncio.sleep(0.15)
     task.cancel()
     await asyncio.sleep(2.0)
-    site.store.delay = 0.004
+    site.store.response_delay = 0.004
     answer = await site.turn(
-        other, 'a1', program=program, budget=MAX_TOKENS, most=MAX_TOKENS
+        other, 'a1', program=program, budget=MAX_TOKENS, max_tokens=MAX_TOKENS
     )
     case.assertEqual(200, answer.status)
 
@@ -132,7 +132,7 @@
     The store applies the write and its response is lost.
     """
     await site.start(1)
-    front = site.fronts['i1']
+    front = site.instances['i1']
     question = peer_messages.Reserve('new', MAX_TOKENS, 'lost', MAX_TOKENS)
     site.store.lost_replies = 1
     deadline = site.timers.now() + 2.0
@@ -146,7 +146,7 @@
     task.cancel()
     await asyncio.sleep(2.0)
     answer = await site.turn(
-        'i1', 'a1', program='new', budget=MAX_TOKENS, most=MAX_TOKENS
+        'i1', 'a1', program='new', budget=MAX_TOKENS, max_tokens=MAX_TOKENS
     )
     case.assertEqual(200, answer.status)
 
@@ -157,14 +157,14 @@
     Reporting it spent would end the program; the caller has to retry instead
     and is served once the holder responds.
     """
-    program = sites.find_program('i2', 'i1')
+    program = site_fixtures.find_program_with_ranking('i2', 'i1')
     await site.start(2)
     await _set_engine_states(site, are_draining=True)
     answer = await site.turn(
-        'i2', 'a1', program=program, budget=BUDGET, most=MAX_TOKENS
+        'i2', 'a1', program=program, budget=BUDGET, max_tokens=MAX_TOKENS
     )
     case.assertEqual(503, answer.status)
-    sender = site.fronts['i2']._sender
+    sender = site.instances['i2']._sender
     receive = sender._receive
 
     def receive_membership_only(data, address):
@@ -172,17 +172,17 @@
             receive(data, address)
 
     sender._receive = receive_membership_only
-    stand_in = site.fronts['i1']._reservations
+    stand_in = site.instances['i1']._reservations
     question = peer_messages.Reserve(program, BUDGET, 'under-way', MAX_TOKENS)
     await stand_in.reserve(question, site.timers.now() + 1.0)
     await _set_engine_states(site, are_draining=False)
     answer = await site.turn(
-        'i1', 'a2', program=program, budget=BUDGET, most=MAX_TOKENS
+        'i1', 'a2', program=program, budget=BUDGET, max_tokens=MAX_TOKENS
     )
     case.assertEqual(503, answer.status)
     sender._receive = receive
     answer = await site.turn(
-        'i1', 'a3', program=program, budget=BUDGET, most=MAX_TOKENS
+        'i1', 'a3', program=program, budget=BUDGET, max_tokens=MAX_TOKENS
     )
     case.assertEqual(200, answer.status)
 
@@ -197,7 +197,7 @@
     answers = await asyncio.gather(
         *(
             site.turn(
-                'i1', f'a{number}', program='new', budget=150, most=MAX_TOKENS
+                'i1', f'a{number}', program='new', budget=150, max_tokens=MAX_TOKENS
             )
             for number in range(2)
         )
@@ -212,17 +212,17 @@
     unused.
     """
     await site.start(3)
-    for front in list(site.fronts.values()):
+    for front in list(site.instances.values()):
         front._members.leave()
         front._reservations.is_leaving = True
     await asyncio.sleep(0.5)
     statuses = []
     for number, instance in enumerate(('i1', 'i2', 'i3', 'i3')):
         answer = await site.turn(
-            instance, f'a{number}', program='new', budget=400, most=MAX_TOKENS
+            instance, f'a{number}', program='new', budget=400, max_tokens=MAX_TOKENS
         )
         statuses.append(answer.status)
-        await sites.settle()
+        await site_fixtures.wait_for_background_work()
     case.assertEqual([200] * 4, statuses)
 
 
@@ -232,18 +232,18 @@
     The tokens of the unresponsive one are unknown, so the budget must not be
     reported spent.
     """
-    program = sites.find_program('i3', 'i2', 'i1')
+    program = site_fixtures.find_program_with_ranking('i3', 'i2', 'i1')
     await site.start(3)
     for name in ('i2', 'i3'):
-        site.fronts[name]._ledger.deposit(
+        site.instances[name]._ledger.deposit(
             program, 10 if name == 'i3' else MAX_TOKENS
         )
-    sender = site.fronts['i2']._sender
+    sender = site.instances['i2']._sender
     receive = sender._receive
     sender._receive = lambda data, address: (
         receive(data, address) if data[:1] == peers.MEMBERSHIP else None
     )
-    collect = site.fronts['i1']._reservations._transfers.collect
+    collect = site.instances['i1']._reservations._transfers.collect
     deadline = site.timers.now() + 2.0
     case.assertTrue(await collect(program, deadline))
     with case.assertRaises(store_client.StoreRefusedError):
@@ -256,29 +256,29 @@
     The holder has withdrawn them already.
     """
     await site.start(2)
-    site.fronts['i2']._ledger.deposit('new', MAX_TOKENS)
-    sender = site.fronts['i2']._sender
+    site.instances['i2']._ledger.deposit('new', MAX_TOKENS)
+    sender = site.instances['i2']._sender
     receive, late = sender._receive, []
     sender._receive = lambda data, address: (
         receive(data, address)
         if data[:1] == peers.MEMBERSHIP
         else late.append((data, address))
     )
-    collect = site.fronts['i1']._reservations._transfers.collect
+    collect = site.instances['i1']._reservations._transfers.collect
     with case.assertRaises(store_client.StoreRefusedError):
         await collect('new', site.timers.now() + 2.0)
     sender._receive = receive
     for data, address in late:
         receive(data, address)
     await asyncio.sleep(0.5)
-    case.assertEqual(MAX_TOKENS, site.fronts['i1']._ledger.withdraw('new'))
+    case.assertEqual(MAX_TOKENS, site.instances['i1']._ledger.withdraw('new'))
 
 
 async def test_concurrent_turns_share_a_search(case, site):
     """Concurrent turns must not each query an unresponsive holder."""
     await site.start(2)
     asked = []
-    sender = site.fronts['i2']._sender
+    sender = site.instances['i2']._sender
     receive = sender._receive
 
     def count(data, address):
@@ -288,7 +288,7 @@
             asked.append(data)
 
     sender._receive = count
-    collect = site.fronts['i1']._reservations._transfers.collect
+    collect = site.instances['i1']._reservations._transfers.collect
     deadline = site.timers.now() + 2.0
     await asyncio.gather(
         *(collect('new', deadline) for _ in range(50)), return_exceptions=True
@@ -302,17 +302,17 @@
     The row names the last write of each holder, by which the holder confirms
     its grant when its tokens are requested.
     """
-    program = sites.find_program('i1', 'i2')
+    program = site_fixtures.find_program_with_ranking('i1', 'i2')
     await site.start(2)
-    ledger = site.fronts['i1']._ledger
+    ledger = site.instances['i1']._ledger
     site.store.lost_replies = 1
     deadline = site.timers.now() + 0.02
     with case.assertRaises(store_client.StoreError):
         await ledger.reserve(program, BUDGET, 'a', MAX_TOKENS, deadline)
-    other = site.fronts['i2']._ledger
+    other = site.instances['i2']._ledger
     deadline = site.timers.now() + 1.0
     await other.reserve(program, BUDGET, 'b', MAX_TOKENS, deadline, MAX_TOKENS)
-    collect = site.fronts['i2']._reservations._transfers.collect
+    collect = site.instances['i2']._reservations._transfers.collect
     case.assertTrue(await collect(program, site.timers.now() + 1.0))
     case.assertEqual(MAX_TOKENS, other.withdraw(program))
 
@@ -324,13 +324,13 @@
     yet when a third instance asks both.
     """
     await site.start(3)
-    program = sites.find_program('i1', 'i2', 'i3')
-    site.fronts['i1']._ledger.deposit(program, MAX_TOKENS)
-    tokens = site.fronts['i1']._ledger.withdraw(program)
-    collect = site.fronts['i3']._reservations._transfers.collect
+    program = site_fixtures.find_program_with_ranking('i1', 'i2', 'i3')
+    site.instances['i1']._ledger.deposit(program, MAX_TOKENS)
+    tokens = site.instances['i1']._ledger.withdraw(program)
+    collect = site.instances['i3']._reservations._transfers.collect
     found = asyncio.ensure_future(collect(program, site.timers.now() + 2.0))
     await asyncio.sleep(0.05)
-    site.fronts['i2']._ledger.deposit(program, tokens)
+    site.instances['i2']._ledger.deposit(program, tokens)
     case.assertTrue(await found)
 
 
@@ -341,8 +341,8 @@
     may report the budget spent because of an outdated search.
     """
     await site.start(2)
-    ledgers = [site.fronts[name]._ledger for name in ('i1', 'i2')]
-    collect = site.fronts['i1']._reservations._transfers.collect
+    ledgers = [site.instances[name]._ledger for name in ('i1', 'i2')]
+    collect = site.instances['i1']._reservations._transfers.collect
     deadline = site.timers.now() + 2.0
     for _ in range(2):
         ledgers[1].deposit('new', MAX_TOKENS)
@@ -355,10 +355,10 @@
 
     Each of them holds a part of the tokens that both need.
     """
-    program = sites.find_program('i1', 'i2')
+    program = site_fixtures.find_program_with_ranking('i1', 'i2')
     await site.start(2)
-    reservations = [site.fronts[name]._reservations for name in ('i1', 'i2')]
-    ledgers = [site.fronts[name]._ledger for name in ('i1', 'i2')]
+    reservations = [site.instances[name]._reservations for name in ('i1', 'i2')]
+    ledgers = [site.instances[name]._ledger for name in ('i1', 'i2')]
     deadline = site.timers.now() + 5.0
     for ledger, turn in zip(ledgers, 'xy', strict=True):
         await ledger.reserve(
@@ -366,7 +366,7 @@
         )
         ledger.settle(program, turn, MAX_TOKENS)
         ledger.deposit(program, MAX_TOKENS * 6 // 10)
-    calls = site.fronts['i1']._peers._number
+    calls = site.instances['i1']._peers._number
     questions = [
         peer_messages.Reserve(program, MAX_TOKENS, turn, MAX_TOKENS)
         for turn in ('p', 'q')
@@ -379,7 +379,7 @@
         return_exceptions=True,
     )
     case.assertLess(site.timers.now(), deadline - 2.0)
-    case.assertLess(site.fronts['i1']._peers._number - calls, 30)
+    case.assertLess(site.instances['i1']._peers._number - calls, 30)
     granted = answers.count(ledger_module.Outcome.GRANTED)
     case.assertLessEqual(granted, 1)
 
@@ -390,17 +390,17 @@
     The second reservation would never be settled.
     """
     await site.start(1)
-    reservations = site.fronts['i1']._reservations
-    site.fronts['i1']._ledger.deposit('new', MAX_TOKENS)
+    reservations = site.instances['i1']._reservations
+    site.instances['i1']._ledger.deposit('new', MAX_TOKENS)
     question = peer_messages.Reserve('new', MAX_TOKENS, 'a', MAX_TOKENS)
     case.assertIsInstance(
         reservations.handle_request(question), peer_messages.Granted
     )
     reservations.handle_request(peer_messages.Settle('new', 'a', 0))
     case.assertEqual(
-        peer_messages.Unable(False), reservations.handle_request(question)
+        peer_messages.Unavailable(False), reservations.handle_request(question)
     )
-    case.assertEqual(MAX_TOKENS, site.fronts['i1']._ledger.withdraw('new'))
+    case.assertEqual(MAX_TOKENS, site.instances['i1']._ledger.withdraw('new'))
 
 
 async def test_tokens_are_returned_only_once(case, site):
@@ -409,7 +409,7 @@
     Another instance is granted tokens meanwhile; these must stay counted.
     """
     await site.start(1)
-    ledger = site.fronts['i1']._ledger
+    ledger = site.instances['i1']._ledger
     deadline = site.timers.now() + 1.0
     await ledger.reserve('new', 400, 'a', MAX_TOKENS, deadline)
     ledger.settle('new', 'a', 0)
@@ -418,12 +418,12 @@
     while site.store.lost_replies:
         case.assertFalse(back.done())
         await asyncio.sleep(0.001)
-    await site.add_front('i2')
-    other = site.fronts['i2']._ledger
+    await site.add_instance('i2')
+    other = site.instances['i2']._ledger
     await other.reserve('new', 400, 'b', MAX_TOKENS, site.timers.now() + 1.0)
     await back
     row = msgspec.msgpack.decode(site.store.list_table('budgets')['new'])
     case.assertGreaterEqual(row[1], MAX_TOKENS)
 
 
-load_tests = fixtures.adapt(__name__, [sites])
+load_tests = fixtures.adapt(__name__, [site_fixtures])
--- a/tests/gateway/test_sweeping.py
+++ b/tests/gateway/test_sweeping.py
@@ -1,11 +1,9 @@
 """Tests of the removal of expired rows."""
 
-import asyncio
-
-from tests.gateway import sites
+from tests.gateway import site_fixtures
 from vanillayoke.gateway import sweeping
 from vanillayoke.testing import fixtures
-
+import asyncio
 
 async def test_expired_turns_and_budgets_are_removed(case, site):
     """Rows of ended programs must not accumulate in the store."""
@@ -28,4 +26,4 @@
     case.assertEqual(200, answer.status)
 
 
-load_tests = fixtures.adapt(__name__, [sites])
+load_tests = fixtures.adapt(__name__, [site_fixtures])
