--- a/libs/gateway/vanillayoke/gateway/coordinator_client.py
+++ b/libs/gateway/vanillayoke/gateway/coordinator_client.py
@@ -1,10 +1,11 @@
 """Requests to the coordinators of programs, skipping unresponsive ones."""
 
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import rendezvous
-import typing
 
 # The second instance in rank is asked if the first does not respond or is
 # leaving.
--- a/libs/gateway/vanillayoke/gateway/ledger.py
+++ b/libs/gateway/vanillayoke/gateway/ledger.py
@@ -1,5 +1,12 @@
 """Grants of program budgets, recorded in the store by compare-and-set."""
 
+import asyncio
+import collections
+import enum
+import typing
+
+import msgspec
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import budget_accounts
 from vanillayoke.gateway import messages
@@ -7,11 +14,6 @@
 from vanillayoke.gateway import retries
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import grants
-import asyncio
-import collections
-import enum
-import msgspec
-import typing
 
 TABLE = 'budgets'
 # Accounts of programs idle for longer are dropped; the tokens left in them
--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -1,15 +1,17 @@
 """Accounts of the limits that this instance coordinates."""
 
+import asyncio
+import typing
+
+import msgspec
+import xxhash
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import partitions
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import store as store_module
 from vanillayoke.scheduling import quotas
-import asyncio
-import msgspec
-import typing
-import xxhash
 
 TABLE = 'limits'
 ACCOUNT_IDLE_SECONDS = 60.0
@@ -153,7 +155,9 @@
             lost = self._find_lost_share()
             reserve = quotas.get_reserve(account.limit, lost, entry.is_loaded)
         else:
-            reserve = quotas.get_initial_reserve(account.limit, entry.is_loaded)
+            reserve = quotas.get_initial_reserve(
+                account.limit, entry.is_loaded
+            )
         account.reserve = reserve
         standing = peer_messages.LimitStatus(False)
         if report.pending is not None:
--- a/libs/gateway/vanillayoke/gateway/limits.py
+++ b/libs/gateway/vanillayoke/gateway/limits.py
@@ -6,6 +6,10 @@
 coordinator afterwards; otherwise it asks first.
 """
 
+import asyncio
+import collections
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import messages
@@ -14,9 +18,6 @@
 from vanillayoke.gateway import refusals
 from vanillayoke.gateway import rendezvous
 from vanillayoke.scheduling import quotas
-import asyncio
-import collections
-import typing
 
 # Distinguishes the keys of limits from those of programs.
 KEY_PREFIX = 'limit/'
@@ -54,8 +55,10 @@
 
     def __init__(
         self,
-        at: float, request: quotas.AdmissionRequest,
-        count: int, is_reported: bool,
+        at: float,
+        request: quotas.AdmissionRequest,
+        count: int,
+        is_reported: bool,
     ) -> None:
         self.at = at
         self.request = request
@@ -236,10 +239,14 @@
                 self._usages[organisation] = usage
                 return
             now = self._timers.now()
-            if response.is_new_program or now + response.retry_after > deadline:
+            if (
+                response.is_new_program
+                or now + response.retry_after > deadline
+            ):
                 raise refusals.RefusalError(
                     refusals.Reason.OVER_LIMIT,
-                    f'{response.refusal_reason}; counted by {usage.coordinator}',
+                    f'{response.refusal_reason};'
+                    f' counted by {usage.coordinator}',
                     response.retry_after,
                 )
             await self._timers.sleep(response.retry_after)
@@ -288,7 +295,8 @@
     async def _send_report(
         self,
         organisation: str,
-        usage: _Usage, request: quotas.AdmissionRequest | None,
+        usage: _Usage,
+        request: quotas.AdmissionRequest | None,
     ) -> peer_messages.LimitStatus | None:
         """Report unreported requests to the coordinator; return its response.
 
--- a/libs/gateway/vanillayoke/gateway/program_tracking.py
+++ b/libs/gateway/vanillayoke/gateway/program_tracking.py
@@ -1,8 +1,9 @@
 """Per-program state at its coordinator: time lost and recent targets."""
 
-from vanillayoke.scheduling import program_slack
 import collections
 
+from vanillayoke.scheduling import program_slack
+
 # Programs idle for longer are regarded as ended.
 IDLE_SECONDS = 3.0
 # How long the state of an idle program is kept, in case it continues.
--- a/libs/gateway/vanillayoke/gateway/reservations.py
+++ b/libs/gateway/vanillayoke/gateway/reservations.py
@@ -7,6 +7,10 @@
 reserve do so from separate grants.
 """
 
+import asyncio
+import collections
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import background
 from vanillayoke.gateway import coordinator_client
@@ -19,9 +23,6 @@
 from vanillayoke.gateway import store as store_module
 from vanillayoke.gateway import token_transfers
 from vanillayoke.scheduling import program_slack
-import asyncio
-import collections
-import typing
 
 # How long the store may take on behalf of another instance.
 COORDINATOR_TIMEOUT_SECONDS = 2.5
--- a/libs/gateway/vanillayoke/gateway/sweeping.py
+++ b/libs/gateway/vanillayoke/gateway/sweeping.py
@@ -5,6 +5,10 @@
 double removal.
 """
 
+import typing
+
+import msgspec
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import catalog as catalog_module
 from vanillayoke.gateway import histories
@@ -16,8 +20,6 @@
 from vanillayoke.gateway import store as store_module
 from vanillayoke.programs import grants
 from vanillayoke.programs import transcripts
-import msgspec
-import typing
 
 # The time in which all partitions are swept once.
 SWEEP_INTERVAL_SECONDS = 600.0
--- a/libs/gateway/vanillayoke/gateway/token_transfers.py
+++ b/libs/gateway/vanillayoke/gateway/token_transfers.py
@@ -4,6 +4,10 @@
 budget's row counts them as granted either way.
 """
 
+import asyncio
+import collections
+import typing
+
 from vanillayoke.core import timers
 from vanillayoke.gateway import background
 from vanillayoke.gateway import ledger as ledger_module
@@ -11,9 +15,6 @@
 from vanillayoke.gateway import peers as peers_module
 from vanillayoke.gateway import rendezvous
 from vanillayoke.gateway import store as store_module
-import asyncio
-import collections
-import typing
 
 # Instances that are asked for a program's tokens besides those named by its
 # row, in order of their scores: a stopping instance transfers its tokens to
@@ -89,7 +90,9 @@
             )
         return len(programs)
 
-    def release(self, program: str, requester: str) -> peer_messages.HandedOver:
+    def release(
+        self, program: str, requester: str
+    ) -> peer_messages.HandedOver:
         """Release the free tokens; return them with their former receivers.
 
         While all instances are leaving, their membership views differ. Tokens
--- a/tests/gateway/test_all_leave.py
+++ b/tests/gateway/test_all_leave.py
@@ -5,12 +5,13 @@
 of the stops.
 """
 
-from tests.gateway import site_fixtures
-from vanillayoke.testing import fixtures
 import asyncio
 import collections
 import random
 
+from tests.gateway import site_fixtures
+from vanillayoke.testing import fixtures
+
 SEEDS = (31, 33, 37)
 INSTANCE_COUNT = 7
 CALLER_COUNT = 24
--- a/tests/gateway/test_credit.py
+++ b/tests/gateway/test_credit.py
@@ -1,13 +1,15 @@
 """Tests of turns on credit while the store is unavailable."""
 
+import asyncio
+
+import msgspec
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import exclusivity
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import rendezvous
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
-import asyncio
-import msgspec
 
 MAX_TOKENS = 40
 
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -4,14 +4,16 @@
 at whichever instance holds them, and a budget must not be split.
 """
 
+import asyncio
+
+import msgspec
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.testing import fixtures
-import asyncio
-import msgspec
 
 BUDGET = 175
 MAX_TOKENS = 100
@@ -25,7 +27,9 @@
     The parts would be too small for a turn.
     """
     await site.start(3)
-    await site.turn('i1', 'first', program='new', budget=320, max_tokens=MAX_TOKENS)
+    await site.turn(
+        'i1', 'first', program='new', budget=320, max_tokens=MAX_TOKENS
+    )
     for front in site.instances.values():
         front._members.leave()
         front._reservations.is_leaving = True
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -4,14 +4,16 @@
 The budget here is less than two turns, so that any lost tokens show.
 """
 
+import asyncio
+
+import msgspec
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers
 from vanillayoke.gateway import store as store_client
 from vanillayoke.testing import fixtures
-import asyncio
-import msgspec
 
 BUDGET = 175
 MAX_TOKENS = 100
@@ -197,7 +199,11 @@
     answers = await asyncio.gather(
         *(
             site.turn(
-                'i1', f'a{number}', program='new', budget=150, max_tokens=MAX_TOKENS
+                'i1',
+                f'a{number}',
+                program='new',
+                budget=150,
+                max_tokens=MAX_TOKENS,
             )
             for number in range(2)
         )
@@ -219,7 +225,11 @@
     statuses = []
     for number, instance in enumerate(('i1', 'i2', 'i3', 'i3')):
         answer = await site.turn(
-            instance, f'a{number}', program='new', budget=400, max_tokens=MAX_TOKENS
+            instance,
+            f'a{number}',
+            program='new',
+            budget=400,
+            max_tokens=MAX_TOKENS,
         )
         statuses.append(answer.status)
         await site_fixtures.wait_for_background_work()
@@ -357,7 +367,9 @@
     """
     program = site_fixtures.find_program_with_ranking('i1', 'i2')
     await site.start(2)
-    reservations = [site.instances[name]._reservations for name in ('i1', 'i2')]
+    reservations = [
+        site.instances[name]._reservations for name in ('i1', 'i2')
+    ]
     ledgers = [site.instances[name]._ledger for name in ('i1', 'i2')]
     deadline = site.timers.now() + 5.0
     for ledger, turn in zip(ledgers, 'xy', strict=True):
--- a/tests/gateway/test_sweeping.py
+++ b/tests/gateway/test_sweeping.py
@@ -1,9 +1,11 @@
 """Tests of the removal of expired rows."""
 
+import asyncio
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import sweeping
 from vanillayoke.testing import fixtures
-import asyncio
+
 
 async def test_expired_turns_and_budgets_are_removed(case, site):
     """Rows of ended programs must not accumulate in the store."""
