--- a/libs/gateway/vanillayoke/gateway/token_transfers.py
+++ b/libs/gateway/vanillayoke/gateway/token_transfers.py
@@ -112,7 +112,7 @@
         self._receivers[program] = (*others[1 - MAX_RECEIVERS :], receiver)
         self._receivers.move_to_end(program)
         if len(self._receivers) > MAX_TRANSFERRED_PROGRAMS:
-            self._receivers.popitem(previous=False)
+            self._receivers.popitem(last=False)
 
     async def collect(self, program: str, deadline: float) -> bool:
         """Collect tokens from other instances; return whether there were any.
@@ -178,7 +178,7 @@
         self._searches[program] = _Search(self._timers.now(), unresponsive)
         self._searches.move_to_end(program)
         if len(self._searches) > MAX_SEARCHES:
-            self._searches.popitem(previous=False)
+            self._searches.popitem(last=False)
         return False
 
     async def _wait_within(
