--- a/libs/gateway/vanillayoke/gateway/coordinator_client.py
+++ b/libs/gateway/vanillayoke/gateway/coordinator_client.py
@@ -49,9 +49,9 @@
         self.prune()
         if self._unresponsive:
             eligible = [
-                one
-                for one in eligible
-                if one.instance not in self._unresponsive
+                peer
+                for peer in eligible
+                if peer.instance not in self._unresponsive
             ]
         return rendezvous.list_highest(program, eligible, MAX_COORDINATORS)
 
@@ -96,8 +96,8 @@
         """Stop skipping instances whose timeout has passed."""
         cutoff = self._timers.now() - UNRESPONSIVE_SECONDS
         for name in [
-            one
-            for one, failed_at in self._unresponsive.items()
+            instance
+            for instance, failed_at in self._unresponsive.items()
             if failed_at <= cutoff
         ]:
             del self._unresponsive[name]
--- a/libs/gateway/vanillayoke/gateway/exclusivity.py
+++ b/libs/gateway/vanillayoke/gateway/exclusivity.py
@@ -34,7 +34,7 @@
         self, instance: str, now: float, is_first_start: bool
     ) -> None:
         self._instance = instance
-        self._since = float('-inf') if is_first_start else now
+        self._exclusive_since = float('-inf') if is_first_start else now
         # Failures of the store before the start need not be known: the former
         # coordinators recorded their credit as soon as the store recovered.
         self._store_failed_at = float('-inf')
@@ -72,7 +72,7 @@
     def record_interruption(self, now: float) -> None:
         """Record that others may have replaced this instance until now."""
         if self._is_active:
-            self._since = now
+            self._exclusive_since = now
 
     def tick(self, now: float, wall: float, interval: float) -> None:
         """Record that the event loop runs; called every ``interval`` seconds.
@@ -133,7 +133,10 @@
     ) -> bool:
         """Return whether no other instance can have been coordinator."""
         self._check_wall_clock(now, wall, interval)
-        if self._ticked_at is None or now - self._since < RETENTION_SECONDS:
+        if (
+            self._ticked_at is None
+            or now - self._exclusive_since < RETENTION_SECONDS
+        ):
             return False
         if now - self._ticked_at > interval + MAX_LAG_SECONDS:
             # The process has just resumed and has no recent membership view.
--- a/libs/gateway/vanillayoke/gateway/ledger.py
+++ b/libs/gateway/vanillayoke/gateway/ledger.py
@@ -31,7 +31,7 @@
 
 
 class Outcome(enum.IntEnum):
-    """How a reservation ended."""
+    """The outcome of a reservation in the ledger."""
 
     GRANTED = 0
     SPENT = 1
@@ -49,13 +49,13 @@
         instance: str,
         store: store_module.StoreClient,
         timer_service: timers.TimerService,
-        make_name: typing.Callable[[], str],
+        make_write_id: typing.Callable[[], str],
         on_decision: typing.Callable[[budget_accounts.Decision], None],
     ) -> None:
         self._instance = instance
         self._store = store
         self._timers = timer_service
-        self._make_name = make_name
+        self._make_write_id = make_write_id
         self._on_decision = on_decision
         self._accounts: collections.OrderedDict[
             str, budget_accounts.Account
@@ -242,7 +242,7 @@
                 row = grants.BudgetRow(
                     account.budget,
                     account.granted + owed,
-                    self._make_name(),
+                    self._make_write_id(),
                     self._timers.wall(),
                     self.list_holders(program),
                 )
@@ -264,7 +264,7 @@
         )
 
     async def top_up(self, program: str, budget: int, need: int) -> None:
-        """Get the next grant before a turn has to wait for it."""
+        """Request the next grant before a turn has to wait for it."""
         account = self._open_account(program)
         deadline = self._timers.now() + TOP_UP_TIMEOUT_SECONDS
         async with account.lock:
@@ -370,7 +370,7 @@
         extra: int = 0,
     ) -> bool:
         """Request a grant; return ``False`` if the known row has no room."""
-        write_id, now = self._make_name(), self._timers.wall()
+        write_id, now = self._make_write_id(), self._timers.wall()
         owed = account.owed
         row = account.row
         if owed:
@@ -402,7 +402,7 @@
         row = grants.plan_return(
             account.row,
             tokens - account.owed,
-            self._make_name(),
+            self._make_write_id(),
             self._timers.wall(),
         )
         return await self._write(account, program, row, deadline)
@@ -443,9 +443,9 @@
         row_key = self._make_row_key(program)
         # A transaction without changes reads the committed row, whereas a
         # plain read may return an older one.
-        check = messages.Transaction(((row_key, NEVER_VERSION),))
+        read = messages.Transaction(((row_key, NEVER_VERSION),))
         outcome = await retries.commit(
-            self._store, check, deadline, self._timers
+            self._store, read, deadline, self._timers
         )
         rows = outcome.rows if isinstance(outcome, messages.Conflict) else ()
         self._apply_rows(account, program, rows)
--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -72,7 +72,7 @@
         self._spawn = spawn
         self._find_lost_share = find_lost_share
         self._is_leaving = is_leaving
-        self._needs = quotas.ProgramStatistics()
+        self._statistics = quotas.ProgramStatistics()
         self._entries: dict[str, _Entry] = {}
 
     def handle_request(
@@ -92,7 +92,7 @@
         name = report.organisation
         entry = self._entries.get(name)
         if entry is None:
-            entry = _Entry(quotas.Account(self._window, self._needs))
+            entry = _Entry(quotas.Account(self._window, self._statistics))
             self._entries[name] = entry
             self._start_loading(name, entry)
         elif report.is_reassigned and self._is_settled(entry):
@@ -134,8 +134,8 @@
         for record in report.records:
             at = now - record.age_ms / 1000
             account.window.add(report.reporter, at, record.count)
-            asked = quotas.AdmissionRequest(record.program, record.route)
-            account.record(asked, record.count, now)
+            request = quotas.AdmissionRequest(record.program, record.route)
+            account.record(request, record.count, now)
             entry.unsaved_count += record.count
         account.last_used_at = now
 
@@ -152,19 +152,21 @@
         now = self._timers.now()
         account = entry.account
         if now >= entry.settled_at:
-            lost = self._find_lost_share()
-            reserve = quotas.get_reserve(account.limit, lost, entry.is_loaded)
+            lost_share = self._find_lost_share()
+            reserve = quotas.get_reserve(
+                account.limit, lost_share, entry.is_loaded
+            )
         else:
             reserve = quotas.get_initial_reserve(
                 account.limit, entry.is_loaded
             )
         account.reserve = reserve
-        standing = peer_messages.LimitStatus(False)
+        status = peer_messages.LimitStatus(False)
         if report.pending is not None:
-            asked = quotas.AdmissionRequest(*report.pending)
-            match account.request_admission(report.reporter, asked, now):
+            request = quotas.AdmissionRequest(*report.pending)
+            match account.request_admission(report.reporter, request, now):
                 case quotas.Refused() as refusal:
-                    standing = peer_messages.LimitStatus(
+                    status = peer_messages.LimitStatus(
                         False,
                         _describe(refusal, account),
                         refusal.retry_after,
@@ -174,7 +176,7 @@
                     entry.unsaved_count += 1
         self._schedule_save(report.organisation, entry)
         return msgspec.structs.replace(
-            standing, is_near_limit=account.is_near_limit(now)
+            status, is_near_limit=account.is_near_limit(now)
         )
 
     # The store
@@ -191,7 +193,8 @@
         if saved is not None:
             age = max(0.0, self._timers.wall() - saved.time)
             entry.account.window.restore(
-                (now - age - one, count) for one, count in saved.counts
+                (now - age - entry_age, count)
+                for entry_age, count in saved.counts
             )
         entry.loading = None
         entry.settled_at = now + SETTLING_SECONDS
--- a/libs/gateway/vanillayoke/gateway/limits.py
+++ b/libs/gateway/vanillayoke/gateway/limits.py
@@ -41,26 +41,26 @@
 
 
 class Admission(typing.NamedTuple):
-    """A request counted as used, and the time since it counts."""
+    """An admitted request, and the time at which it was counted."""
 
     organisation: str
     request: quotas.AdmissionRequest
-    at: float
+    admitted_at: float
 
 
 class _Entry:
     """Requests admitted at one time, and whether they were reported."""
 
-    __slots__ = ('at', 'request', 'count', 'is_reported')
+    __slots__ = ('admitted_at', 'request', 'count', 'is_reported')
 
     def __init__(
         self,
-        at: float,
+        admitted_at: float,
         request: quotas.AdmissionRequest,
         count: int,
         is_reported: bool,
     ) -> None:
-        self.at = at
+        self.admitted_at = admitted_at
         self.request = request
         self.count = count
         self.is_reported = is_reported
@@ -73,7 +73,7 @@
         self.entries: collections.deque[_Entry] = collections.deque()
         self.coordinator: str | None = None
         self.has_changed_coordinator = False
-        self.is_close = False
+        self.is_near_limit = False
         self.is_cut_off = False
         self.is_report_scheduled = False
         # When the coordinator last responded.
@@ -83,39 +83,39 @@
 
     def add(
         self,
-        at: float,
+        admitted_at: float,
         request: quotas.AdmissionRequest,
         count: int,
         is_reported: bool = False,
     ) -> None:
-        self.entries.append(_Entry(at, request, count, is_reported))
+        self.entries.append(_Entry(admitted_at, request, count, is_reported))
 
-    def prune(self, limit: float) -> None:
-        while self.entries and self.entries[0].at < limit:
+    def prune(self, cutoff: float) -> None:
+        while self.entries and self.entries[0].admitted_at < cutoff:
             self.entries.popleft()
 
     def count(self) -> int:
         return sum(entry.count for entry in self.entries)
 
     def count_unreported(self) -> int:
-        found = 0
+        count = 0
         for entry in reversed(self.entries):
             if entry.is_reported:
                 break
-            found += abs(entry.count)
-        return found
+            count += abs(entry.count)
+        return count
 
-    def take_unreported(self, is_whole: bool) -> list[_Entry]:
+    def take_unreported(self, is_full: bool) -> list[_Entry]:
         """Return the entries to report and mark them as reported.
 
-        ``is_whole`` includes those reported before.
+        ``is_full`` includes those reported before.
         """
-        found = []
+        entries = []
         for entry in self.entries:
-            if is_whole or not entry.is_reported:
-                found.append(entry)
+            if is_full or not entry.is_reported:
+                entries.append(entry)
                 entry.is_reported = True
-        return found
+        return entries
 
 
 class Limits:
@@ -171,7 +171,7 @@
         """
         if organisation is None or not organisation.rate:
             return None
-        usage = self._open(organisation)
+        usage = self._open_usage(organisation)
         now = self._timers.now()
         if self._must_ask(usage, now):
             await self._wait_for_room(
@@ -186,7 +186,7 @@
         """Count further runs of a request; -1 if it did not run."""
         usage = self._usages.get(admission.organisation)
         if usage is not None:
-            usage.add(admission.at, admission.request, count)
+            usage.add(admission.admitted_at, admission.request, count)
             self._schedule_report(admission.organisation, usage)
 
     def prune(self) -> None:
@@ -200,14 +200,14 @@
                 self._schedule_report(name, usage)
 
     def _must_ask(self, usage: _Usage, now: float) -> bool:
-        if usage.is_close or usage.is_cut_off:
+        if usage.is_near_limit or usage.is_cut_off:
             return True
         if now - usage.responded_at < STATUS_LIFETIME_SECONDS:
             return False
         count = len(self._list_eligible())
         return count > UNREPORTED_RATIO * usage.limit.tolerance
 
-    def _open(self, organisation: messages.Organisation) -> _Usage:
+    def _open_usage(self, organisation: messages.Organisation) -> _Usage:
         usage = self._usages.get(organisation.name)
         if usage is None:
             usage = self._usages[organisation.name] = _Usage()
@@ -288,8 +288,10 @@
     ) -> None:
         await self._timers.sleep(REPORT_DELAY_SECONDS)
         usage.is_report_scheduled = False
-        is_moved = usage.coordinator != self._find_coordinator(organisation)
-        if is_moved or usage.count_unreported():
+        is_reassigned = usage.coordinator != self._find_coordinator(
+            organisation
+        )
+        if is_reassigned or usage.count_unreported():
             await self._send_report(organisation, usage, None)
 
     async def _send_report(
@@ -311,7 +313,7 @@
             )
             response = await self._deliver(coordinator, report)
             if isinstance(response, peer_messages.LimitStatus):
-                usage.is_close = response.is_near_limit
+                usage.is_near_limit = response.is_near_limit
                 usage.is_cut_off = False
                 usage.responded_at = self._timers.now()
                 return response
@@ -332,8 +334,8 @@
     ) -> peer_messages.UsageReport:
         now = self._timers.now()
         usage.prune(now - self._window)
-        is_whole = usage.coordinator != coordinator
-        is_moved = is_whole and (
+        is_full = usage.coordinator != coordinator
+        is_reassigned = is_full and (
             usage.coordinator is not None or usage.has_changed_coordinator
         )
         usage.coordinator = coordinator
@@ -344,15 +346,15 @@
             usage.version,
             tuple(
                 peer_messages.UsageRecord(
-                    round((now - entry.at) * 1000),
+                    round((now - entry.admitted_at) * 1000),
                     entry.request.program,
                     entry.request.route,
                     entry.count,
                 )
-                for entry in usage.take_unreported(is_whole)
+                for entry in usage.take_unreported(is_full)
             ),
-            is_whole,
-            is_moved,
+            is_full,
+            is_reassigned,
             None if request is None else (request.program, request.route),
         )
 
@@ -371,9 +373,9 @@
     def _find_address(self, coordinator: str) -> str:
         return next(
             (
-                one.address
-                for one in self._eligible
-                if one.instance == coordinator
+                peer.address
+                for peer in self._eligible
+                if peer.instance == coordinator
             ),
             '',
         )
@@ -415,9 +417,11 @@
         """
         if self._is_cut_off():
             return None
-        limit = self._timers.now() - UNRESPONSIVE_SECONDS
+        cutoff = self._timers.now() - UNRESPONSIVE_SECONDS
         for name in [
-            one for one, at in self._unresponsive.items() if at < limit
+            instance
+            for instance, failed_at in self._unresponsive.items()
+            if failed_at < cutoff
         ]:
             del self._unresponsive[name]
         eligible = self._list_eligible()
@@ -427,7 +431,7 @@
                 KEY_PREFIX + organisation, eligible, MAX_RANKED
             )
             ranked = self._rankings[organisation] = [
-                one.instance for one in highest
+                peer.instance for peer in highest
             ]
         for instance in ranked:
             if instance not in self._unresponsive:
--- a/libs/gateway/vanillayoke/gateway/program_tracking.py
+++ b/libs/gateway/vanillayoke/gateway/program_tracking.py
@@ -1,4 +1,4 @@
-"""Per-program state at its coordinator: time lost and recent targets."""
+"""State of each program at its coordinator: delays and recent targets."""
 
 import collections
 
@@ -14,14 +14,14 @@
     """Tracks the programs that this instance coordinates."""
 
     def __init__(self) -> None:
-        self._clocks: collections.OrderedDict[
+        self._trackers: collections.OrderedDict[
             str, program_slack.DelayTracker
         ] = collections.OrderedDict()
         self._routes: dict[str, str] = {}
         # The target of the last turn by program and session; the session ''
         # stands for the program's last turn in any session.
         self._targets: dict[str, dict[str, str]] = {}
-        self._shares: dict[str, program_slack.IdleTimeRatio] = {}
+        self._idle_ratios: dict[str, program_slack.IdleTimeRatio] = {}
 
     def start_turn(
         self,
@@ -32,28 +32,28 @@
         now: float,
     ) -> program_slack.Slack:
         """Record the start of a turn; return the slack of its session."""
-        clock = self._clocks.get(program)
-        if clock is None:
-            clock = program_slack.DelayTracker(session, now, time_left)
-            self._clocks[program] = clock
+        tracker = self._trackers.get(program)
+        if tracker is None:
+            tracker = program_slack.DelayTracker(session, now, time_left)
+            self._trackers[program] = tracker
             self._routes[program] = route
-        clock.start_turn(session, now, time_left)
-        self._clocks.move_to_end(program)
-        return clock.estimate_slack(
-            session, now, self._find_share(route).value
+        tracker.start_turn(session, now, time_left)
+        self._trackers.move_to_end(program)
+        return tracker.estimate_slack(
+            session, now, self._get_idle_ratio(route).value
         )
 
     def record_delay(
         self, program: str, session: str, seconds: float, now: float
     ) -> None:
         """Record the time that a turn lost to waiting."""
-        clock = self._clocks.get(program)
-        if clock is not None:
-            clock.record_delay(session, seconds, now)
+        tracker = self._trackers.get(program)
+        if tracker is not None:
+            tracker.record_delay(session, seconds, now)
 
     def record_target(self, program: str, session: str, target: str) -> None:
         """Record the target at which a turn was completed."""
-        if program in self._clocks:
+        if program in self._trackers:
             targets = self._targets.setdefault(program, {})
             targets[session] = targets[''] = target
 
@@ -67,19 +67,19 @@
 
     def prune(self, now: float) -> None:
         """Learn from the programs that have ended, and drop old ones."""
-        for program, clock in list(self._clocks.items()):
-            idle = now - clock.last_active_at
+        for program, tracker in list(self._trackers.items()):
+            idle = now - tracker.last_active_at
             if idle < IDLE_SECONDS:
                 return
             route = self._routes.pop(program, None)
             if route is not None:
-                self._find_share(route).learn(clock)
+                self._get_idle_ratio(route).learn(tracker)
             if idle >= RETENTION_SECONDS:
-                del self._clocks[program]
+                del self._trackers[program]
                 self._targets.pop(program, None)
 
-    def _find_share(self, route: str) -> program_slack.IdleTimeRatio:
-        share = self._shares.get(route)
-        if share is None:
-            share = self._shares[route] = program_slack.IdleTimeRatio()
-        return share
+    def _get_idle_ratio(self, route: str) -> program_slack.IdleTimeRatio:
+        ratio = self._idle_ratios.get(route)
+        if ratio is None:
+            ratio = self._idle_ratios[route] = program_slack.IdleTimeRatio()
+        return ratio
--- a/libs/gateway/vanillayoke/gateway/rendezvous.py
+++ b/libs/gateway/vanillayoke/gateway/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: each key has the instance with the highest score.
+"""Rendezvous hashing: a key belongs to the instance with the highest score.
 
 Keys are programs, organisations, targets and partitions of tables.
 """
@@ -24,9 +24,10 @@
 class MembershipView(typing.NamedTuple):
     """Lists the instances by their state, as this instance sees them.
 
-    Candidates may become coordinators. Live ones are the candidates that have
-    been in contact. Reachable ones are alive, suspected or leaving; those
-    that are leaving are no candidates any more. Failed ones do not respond.
+    Eligible ones may become coordinators; the live ones among these have been
+    in contact with this instance. Reachable ones are alive, suspected or
+    leaving; those that are leaving are not eligible. Failed ones do not
+    respond.
     """
 
     list_eligible: ListPeers
@@ -40,33 +41,33 @@
     return xxhash.xxh3_64_intdigest(instance.encode())
 
 
-def compute_score(program: str, instance: str) -> int:
+def compute_score(key: str, instance: str) -> int:
     """Return the score of an instance for a key."""
-    return xxhash.xxh3_64_intdigest(program.encode(), _seed(instance))
+    return xxhash.xxh3_64_intdigest(key.encode(), _seed(instance))
 
 
-def find_highest(program: str, instances: typing.Iterable[str]) -> str | None:
+def find_highest(key: str, instances: typing.Iterable[str]) -> str | None:
     """Return the name with the highest score."""
     return max(
-        instances, key=lambda peer: compute_score(program, peer), default=None
+        instances,
+        key=lambda instance: compute_score(key, instance),
+        default=None,
     )
 
 
-def find_coordinator(
-    program: str, members: typing.Sequence[Peer]
-) -> Peer | None:
+def find_coordinator(key: str, peers: typing.Sequence[Peer]) -> Peer | None:
     """Return the instance with the highest score, the key's coordinator."""
     return max(
-        members,
-        key=lambda peer: compute_score(program, peer.instance),
+        peers,
+        key=lambda peer: compute_score(key, peer.instance),
         default=None,
     )
 
 
 def list_highest(
-    program: str, members: typing.Iterable[Peer], count: int
+    key: str, peers: typing.Iterable[Peer], count: int
 ) -> list[Peer]:
-    """Return the instances with the highest scores in descending order."""
+    """Return the ``count`` highest instances in descending order."""
     return heapq.nlargest(
-        count, members, key=lambda peer: compute_score(program, peer.instance)
+        count, peers, key=lambda peer: compute_score(key, peer.instance)
     )
--- a/libs/gateway/vanillayoke/gateway/token_transfers.py
+++ b/libs/gateway/vanillayoke/gateway/token_transfers.py
@@ -107,7 +107,9 @@
 
     def _record_receiver(self, program: str, receiver: str) -> None:
         others = [
-            one for one in self._receivers.get(program, ()) if one != receiver
+            name
+            for name in self._receivers.get(program, ())
+            if name != receiver
         ]
         self._receivers[program] = (*others[1 - MAX_RECEIVERS :], receiver)
         self._receivers.move_to_end(program)
@@ -159,15 +161,15 @@
         """Ask all possible holders; return whether any had tokens."""
         named = self._list_known_holders(program)
         holders = self._list_possible_holders(program, named)
-        queried = {self._instance, *(one.instance for one in holders)}
+        queried = {self._instance, *(peer.instance for peer in holders)}
         self._query_failed(program, named, queried)
         results = await self._wait_within(
             timeout_seconds,
-            [self._collect_from(program, one, queried) for one in holders],
+            [self._collect_from(program, peer, queried) for peer in holders],
         )
         unresponsive = tuple(
-            one.instance
-            for one, tokens in zip(holders, results, strict=True)
+            peer.instance
+            for peer, tokens in zip(holders, results, strict=True)
             if tokens is None
         )
         if any(results):
@@ -192,10 +194,10 @@
 
         The others continue: tokens that arrive later must not be dropped.
         """
-        tasks = [background.start(one, self._spawn) for one in coroutines]
+        tasks = [background.start(each, self._spawn) for each in coroutines]
         if tasks:
             await asyncio.wait(tasks, timeout=timeout_seconds)
-        return [one.result() if one.done() else None for one in tasks]
+        return [task.result() if task.done() else None for task in tasks]
 
     def _list_known_holders(self, program: str) -> set[str]:
         """Return the instances known to have received tokens."""
@@ -208,8 +210,8 @@
         """Return the other instances that may hold tokens."""
         others = self._exclude_self(self._membership.list_reachable())
         ranked = rendezvous.list_highest(program, others, MAX_RANKED_HOLDERS)
-        possible = named.union(one.instance for one in ranked)
-        return [one for one in others if one.instance in possible]
+        possible = named.union(peer.instance for peer in ranked)
+        return [peer for peer in others if peer.instance in possible]
 
     def _query_failed(
         self, program: str, named: set[str], queried: set[str]
@@ -220,10 +222,10 @@
         later as failed for some seconds. Their tokens arrive before the
         search is repeated.
         """
-        for one in self._membership.list_failed():
-            if one.instance in named and one.instance not in queried:
-                queried.add(one.instance)
-                self._spawn(self._collect_from(program, one, queried))
+        for peer in self._membership.list_failed():
+            if peer.instance in named and peer.instance not in queried:
+                queried.add(peer.instance)
+                self._spawn(self._collect_from(program, peer, queried))
 
     async def _collect_from(
         self, program: str, holder: rendezvous.Peer, queried: set[str]
@@ -237,14 +239,14 @@
         if response is None:
             return None
         further = [
-            one
-            for one in self._membership.list_reachable()
-            if one.instance in response.receivers
-            and one.instance not in queried
+            peer
+            for peer in self._membership.list_reachable()
+            if peer.instance in response.receivers
+            and peer.instance not in queried
         ]
-        queried.update(one.instance for one in further)
+        queried.update(peer.instance for peer in further)
         results = await asyncio.gather(
-            *(self._collect_from(program, one, queried) for one in further)
+            *(self._collect_from(program, peer, queried) for peer in further)
         )
         collected = response.tokens + sum(filter(None, results))
         return None if not collected and None in results else collected
@@ -300,6 +302,6 @@
         return tokens
 
     def _exclude_self(
-        self, members: typing.Iterable[rendezvous.Peer]
+        self, peers: typing.Iterable[rendezvous.Peer]
     ) -> list[rendezvous.Peer]:
-        return [one for one in members if one.instance != self._instance]
+        return [peer for peer in peers if peer.instance != self._instance]
--- a/libs/programs/vanillayoke/programs/grants.py
+++ b/libs/programs/vanillayoke/programs/grants.py
@@ -127,7 +127,7 @@
 
 
 def plan_credit(budget: int, granted: int, owed: int, need: int) -> int:
-    """Return the tokens to give on credit: ``need``, or 0 if too many.
+    """Return ``need`` if it may be given on credit, else 0.
 
     ``granted`` is the number of tokens that may have been granted, and
     ``owed`` the number already given on credit.
--- a/tests/gateway/test_credit.py
+++ b/tests/gateway/test_credit.py
@@ -213,12 +213,12 @@
         front._store.availability.is_unavailable = True
         front._store._relays.pause()
         program = _find_program_coordinated_by(site, name)
-        question = peer_messages.Reserve(
+        request = peer_messages.Reserve(
             program, 800, 'turn', MAX_TOKENS, allow_credit=True
         )
         case.assertEqual(
             peer_messages.Unavailable(True),
-            front._reservations.handle_request(question),
+            front._reservations.handle_request(request),
         )
         case.assertEqual([], site.list_events(name, 'budget_on_credit'))
 
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -252,12 +252,8 @@
 def _request_admission(front, count=1):
     """Request admission as another instance does; return the responses."""
     limit = quotas.Limit(10.0, 0.0, 3.0, WINDOW)
-    question = peer_messages.UsageReport(
-        'red', 'x', limit, 2, pending=('p', '')
-    )
-    return [
-        front._limit_accounts.handle_request(question) for _ in range(count)
-    ]
+    report = peer_messages.UsageReport('red', 'x', limit, 2, pending=('p', ''))
+    return [front._limit_accounts.handle_request(report) for _ in range(count)]
 
 
 async def _await_all(answers):
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -120,9 +120,9 @@
     failed = [one for one in members.list_eligible() if one.instance == 'i2']
     members.list_reachable = lambda: []
     members.list_failed = lambda: failed
-    question = peer_messages.Reserve(program, BUDGET, 'a', 120)
+    request = peer_messages.Reserve(program, BUDGET, 'a', 120)
     outcome = await site.instances['i1']._reservations._reserve_from_store(
-        question, site.timers.now() + 2.0
+        request, site.timers.now() + 2.0
     )
     case.assertIs(ledger_module.Outcome.GRANTED, outcome)
 
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -113,10 +113,10 @@
     other = next(name for name in site.instances if name != coordinator)
     site.store.response_delay = 0.3
     front = site.instances[other]
-    question = peer_messages.Reserve(program, MAX_TOKENS, 'lost', MAX_TOKENS)
+    request = peer_messages.Reserve(program, MAX_TOKENS, 'lost', MAX_TOKENS)
     deadline = site.timers.now() + 0.1
     task = asyncio.ensure_future(
-        front._reservations.reserve(question, deadline)
+        front._reservations.reserve(request, deadline)
     )
     await asyncio.sleep(0.15)
     task.cancel()
@@ -135,11 +135,11 @@
     """
     await site.start(1)
     front = site.instances['i1']
-    question = peer_messages.Reserve('new', MAX_TOKENS, 'lost', MAX_TOKENS)
+    request = peer_messages.Reserve('new', MAX_TOKENS, 'lost', MAX_TOKENS)
     site.store.lost_replies = 1
     deadline = site.timers.now() + 2.0
     task = asyncio.ensure_future(
-        front._reservations.reserve(question, deadline)
+        front._reservations.reserve(request, deadline)
     )
     # The row is written by then, and the write is not retried yet.
     await asyncio.sleep(0.015)
@@ -174,9 +174,9 @@
             receive(data, address)
 
     sender._receive = receive_membership_only
-    stand_in = site.instances['i1']._reservations
-    question = peer_messages.Reserve(program, BUDGET, 'under-way', MAX_TOKENS)
-    await stand_in.reserve(question, site.timers.now() + 1.0)
+    requesting_reservations = site.instances['i1']._reservations
+    request = peer_messages.Reserve(program, BUDGET, 'under-way', MAX_TOKENS)
+    await requesting_reservations.reserve(request, site.timers.now() + 1.0)
     await _set_engine_states(site, are_draining=False)
     answer = await site.turn(
         'i1', 'a2', program=program, budget=BUDGET, max_tokens=MAX_TOKENS
@@ -379,14 +379,14 @@
         ledger.settle(program, turn, MAX_TOKENS)
         ledger.deposit(program, MAX_TOKENS * 6 // 10)
     calls = site.instances['i1']._peers._number
-    questions = [
+    requests = [
         peer_messages.Reserve(program, MAX_TOKENS, turn, MAX_TOKENS)
         for turn in ('p', 'q')
     ]
     answers = await asyncio.gather(
         *(
-            one._reserve_from_store(question, deadline)
-            for one, question in zip(reservations, questions, strict=True)
+            one._reserve_from_store(request, deadline)
+            for one, request in zip(reservations, requests, strict=True)
         ),
         return_exceptions=True,
     )
@@ -404,13 +404,13 @@
     await site.start(1)
     reservations = site.instances['i1']._reservations
     site.instances['i1']._ledger.deposit('new', MAX_TOKENS)
-    question = peer_messages.Reserve('new', MAX_TOKENS, 'a', MAX_TOKENS)
+    request = peer_messages.Reserve('new', MAX_TOKENS, 'a', MAX_TOKENS)
     case.assertIsInstance(
-        reservations.handle_request(question), peer_messages.Granted
+        reservations.handle_request(request), peer_messages.Granted
     )
     reservations.handle_request(peer_messages.Settle('new', 'a', 0))
     case.assertEqual(
-        peer_messages.Unavailable(False), reservations.handle_request(question)
+        peer_messages.Unavailable(False), reservations.handle_request(request)
     )
     case.assertEqual(MAX_TOKENS, site.instances['i1']._ledger.withdraw('new'))
 
