--- a/libs/gateway/vanillayoke/gateway/token_transfers.py
+++ b/libs/gateway/vanillayoke/gateway/token_transfers.py
@@ -81,12 +81,12 @@
         """
         # Only live instances: tokens sent to one that is listed in the store
         # and never started would be lost.
-        others = self._exclude_self(self._membership.list_live_eligible())
+        peers = self._exclude_self(self._membership.list_live_eligible())
         programs = self._ledger.list_with_free_tokens()
-        if others:
+        if peers:
             await self._wait_within(
                 HAND_OVER_TIMEOUT_SECONDS,
-                [self._transfer(program, others) for program in programs],
+                [self._transfer(program, peers) for program in programs],
             )
         return len(programs)
 
@@ -208,10 +208,10 @@
         self, program: str, named: set[str]
     ) -> list[rendezvous.Peer]:
         """Return the other instances that may hold tokens."""
-        others = self._exclude_self(self._membership.list_reachable())
-        ranked = rendezvous.list_highest(program, others, MAX_RANKED_HOLDERS)
+        peers = self._exclude_self(self._membership.list_reachable())
+        ranked = rendezvous.list_highest(program, peers, MAX_RANKED_HOLDERS)
         possible = named.union(peer.instance for peer in ranked)
-        return [peer for peer in others if peer.instance in possible]
+        return [peer for peer in peers if peer.instance in possible]
 
     def _query_failed(
         self, program: str, named: set[str], queried: set[str]
@@ -274,8 +274,8 @@
         """
         if self._ledger.has_account(program):
             return
-        others = self._exclude_self(self._membership.list_eligible())
-        former = rendezvous.find_coordinator(program, others)
+        peers = self._exclude_self(self._membership.list_eligible())
+        former = rendezvous.find_coordinator(program, peers)
         if former is None:
             return
         await self._wait_within(
@@ -286,9 +286,9 @@
     async def _transfer(
         self,
         program: str,
-        others: typing.Sequence[rendezvous.Peer],
+        peers: typing.Sequence[rendezvous.Peer],
     ) -> int:
-        coordinator = rendezvous.find_coordinator(program, others)
+        coordinator = rendezvous.find_coordinator(program, peers)
         # Withdrawn before sending: a lost message loses tokens, but a late
         # one never counts them twice.
         tokens = self._ledger.withdraw(program)
--- a/tests/gateway/test_all_leave.py
+++ b/tests/gateway/test_all_leave.py
@@ -114,8 +114,8 @@
     await asyncio.sleep(3 + source.random())
     callers.is_ending = True
     stops = []
-    for front in list(site.instances.values()):
-        stops.append(asyncio.create_task(front.stop()))
+    for instance in list(site.instances.values()):
+        stops.append(asyncio.create_task(instance.stop()))
         await asyncio.sleep(source.choice((0, 0.001, 0.003, 0.01, 0.05)))
     await asyncio.sleep(STOP_SECONDS)
     callers.is_stopped = True
--- a/tests/gateway/test_credit.py
+++ b/tests/gateway/test_credit.py
@@ -16,8 +16,8 @@
 
 def _find_coordinator(site, program):
     members = [
-        rendezvous.Peer(name, front.settings.front)
-        for name, front in site.instances.items()
+        rendezvous.Peer(name, instance.settings.front)
+        for name, instance in site.instances.items()
     ]
     return rendezvous.find_coordinator(program, members).instance
 
@@ -206,19 +206,19 @@
     """
     await site.start(3)
     await _stop_store(site)
-    for front in site.instances.values():
-        front._exclusivity.record_interruption(site.timers.now())
-    for name, front in site.instances.items():
+    for instance in site.instances.values():
+        instance._exclusivity.record_interruption(site.timers.now())
+    for name, instance in site.instances.items():
         # The store is unreachable, both directly and through relays.
-        front._store.availability.is_unavailable = True
-        front._store._relays.pause()
+        instance._store.availability.is_unavailable = True
+        instance._store._relays.pause()
         program = _find_program_coordinated_by(site, name)
         request = peer_messages.Reserve(
             program, 800, 'turn', MAX_TOKENS, allow_credit=True
         )
         case.assertEqual(
             peer_messages.Unavailable(True),
-            front._reservations.handle_request(request),
+            instance._reservations.handle_request(request),
         )
         case.assertEqual([], site.list_events(name, 'budget_on_credit'))
 
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -47,8 +47,8 @@
 def rank_coordinators(organisation='red', names=INSTANCES):
     members = [rendezvous.Peer(name, '') for name in names]
     key = limits_module.KEY_PREFIX + organisation
-    best = rendezvous.list_highest(key, members, len(members))
-    return [one.instance for one in best]
+    ranked = rendezvous.list_highest(key, members, len(members))
+    return [peer.instance for peer in ranked]
 
 
 async def send(site, instance, count, pause=0.0, key='red-1', program=None):
@@ -56,23 +56,26 @@
 
     Each call belongs to a program of its own unless one is given.
     """
-    found = collections.Counter()
+    statuses = collections.Counter()
     for number in range(count):
         more = {'program_id': program or f'{instance}-{number}'}
         answer = await site_fixtures.call_or_error(
             site, instance, 'order', key=key, **more
         )
-        found[getattr(answer, 'status', None)] += 1
+        statuses[getattr(answer, 'status', None)] += 1
         await asyncio.sleep(pause)
-    return found
+    return statuses
 
 
 async def send_all(site, count, pause=0.0, instances=INSTANCES, program=None):
     """Send calls to each instance; return the total of each status."""
-    found = await asyncio.gather(
-        *(send(site, one, count, pause, program=program) for one in instances)
+    statuses = await asyncio.gather(
+        *(
+            send(site, name, count, pause, program=program)
+            for name in instances
+        )
     )
-    return sum(found, collections.Counter())
+    return sum(statuses, collections.Counter())
 
 
 def find_max_runs(site, window=WINDOW):
@@ -93,18 +96,18 @@
     case, limited_site
 ):
     site = await limited_site()
-    found = await send_all(site, 7, 0.7, program='one')
-    case.assertEqual({200: 28}, dict(found))
+    statuses = await send_all(site, 7, 0.7, program='one')
+    case.assertEqual({200: 28}, dict(statuses))
 
 
 async def test_limit_holds_over_all_instances(case, limited_site):
     """An organisation sends many times its limit through all instances."""
     site = await limited_site()
-    found = await send_all(site, 100, 0.1)
-    case.assertGreater(found[429], 200)
+    statuses = await send_all(site, 100, 0.1)
+    case.assertGreater(statuses[429], 200)
     case.assertLessEqual(find_max_runs(site), LIMIT * 1.1)
     # The calls last for two windows.
-    case.assertGreater(found[200], 2 * LIMIT * 0.8)
+    case.assertGreater(statuses[200], 2 * LIMIT * 0.8)
 
 
 async def test_small_limit_holds_over_many_instances(case, site):
@@ -113,15 +116,15 @@
     await site.start(len(names))
     configure(site, 2, rate=1, burst=5)
     await asyncio.sleep(0.2)
-    found = await send_all(site, 2, 0.2, names)
-    case.assertLessEqual(found[200], 10 + 1)
+    statuses = await send_all(site, 2, 0.2, names)
+    case.assertLessEqual(statuses[200], 10 + 1)
 
 
 async def test_limit_does_not_affect_another_organisation(case, limited_site):
     site = await limited_site()
     await send_all(site, 30)
-    found = await send(site, 'i1', 60, key='blue-1')
-    case.assertEqual({200: 60}, dict(found))
+    statuses = await send(site, 'i1', 60, key='blue-1')
+    case.assertEqual({200: 60}, dict(statuses))
 
 
 async def test_refusal_states_when_to_retry(case, limited_site):
@@ -148,8 +151,8 @@
 async def test_running_program_is_delayed_at_the_limit(case, limited_site):
     """A running program must be delayed rather than refused at the limit."""
     site = await limited_site(rate=10, burst=0)
-    found = await send(site, 'i1', 100, 0.08, program='long-one')
-    case.assertEqual({200: 100}, dict(found))
+    statuses = await send(site, 'i1', 100, 0.08, program='long-one')
+    case.assertEqual({200: 100}, dict(statuses))
     case.assertLessEqual(find_max_runs(site), 50 + TOLERANCE)
 
 
@@ -165,14 +168,16 @@
     sending = asyncio.ensure_future(send_all(site, 100, 0.1, others))
     await asyncio.sleep(2.5)
     site_fixtures.kill(site, network, coordinator)
-    found = await sending
-    case.assertGreater(found[429], 0)
+    statuses = await sending
+    case.assertGreater(statuses[429], 0)
     case.assertLessEqual(find_max_runs(site), LIMIT + TOLERANCE)
 
 
 async def _kill_all(site, network):
     """Kill all instances at once and start them again."""
-    hosts = {name: front.settings.ip for name, front in site.instances.items()}
+    hosts = {
+        name: instance.settings.ip for name, instance in site.instances.items()
+    }
     for name in hosts:
         site_fixtures.kill(site, network, name)
     network.dark.clear()
@@ -213,9 +218,9 @@
     site = await limited_site()
     site.store.mode = store_module.Mode.UNRESPONSIVE
     await asyncio.sleep(3.0)
-    found = await send_all(site, 100, 0.1)
+    statuses = await send_all(site, 100, 0.1)
     case.assertLessEqual(find_max_runs(site), LIMIT * 1.1)
-    case.assertGreater(found[200], 2 * LIMIT * 0.8)
+    case.assertGreater(statuses[200], 2 * LIMIT * 0.8)
 
 
 async def test_cut_off_instance_stays_within_its_share(
@@ -241,23 +246,27 @@
     configure(site, 2, rate=1, burst=5)
     await asyncio.sleep(0.2)
     hosts = [site.instances[name].settings.ip for name in names]
-    for one in hosts:
+    for host in hosts:
         for other in hosts:
-            if one < other:
-                network.cut(one, other)
-    found = await send_all(site, 2, 0.2, names)
-    case.assertLessEqual(found[200], 10)
+            if host < other:
+                network.cut(host, other)
+    statuses = await send_all(site, 2, 0.2, names)
+    case.assertLessEqual(statuses[200], 10)
 
 
-def _request_admission(front, count=1):
+def _request_admission(instance, count=1):
     """Request admission as another instance does; return the responses."""
     limit = quotas.Limit(10.0, 0.0, 3.0, WINDOW)
     report = peer_messages.UsageReport('red', 'x', limit, 2, pending=('p', ''))
-    return [front._limit_accounts.handle_request(report) for _ in range(count)]
+    return [
+        instance._limit_accounts.handle_request(report) for _ in range(count)
+    ]
 
 
 async def _await_all(answers):
-    return [await one if asyncio.iscoroutine(one) else one for one in answers]
+    return [
+        await each if asyncio.iscoroutine(each) else each for each in answers
+    ]
 
 
 async def test_leaving_coordinator_refers_others_to_the_next(
@@ -285,7 +294,7 @@
     site.store.mode = store_module.Mode.UNAVAILABLE
     coordinator = site.instances[rank_coordinators()[0]]
     answers = await _await_all(_request_admission(coordinator, 8))
-    admitted = sum(one.refusal_reason is None for one in answers)
+    admitted = sum(answer.refusal_reason is None for answer in answers)
     case.assertLessEqual(admitted, 3)
     await asyncio.sleep(limit_accounts.SETTLING_SECONDS + 0.1)
     [answer] = await _await_all(_request_admission(coordinator))
@@ -312,8 +321,8 @@
     site = await limited_site()
     stops = [asyncio.ensure_future(f.stop()) for f in site.instances.values()]
     await asyncio.sleep(0.5)
-    found = await send(site, 'i1', LIMIT, 0.05, program='one')
-    case.assertEqual({200: LIMIT}, dict(found))
+    statuses = await send(site, 'i1', LIMIT, 0.05, program='one')
+    case.assertEqual({200: LIMIT}, dict(statuses))
     await asyncio.gather(*stops)
 
 
@@ -337,16 +346,16 @@
         case.assertEqual(402, answer.status)
         await asyncio.sleep(0.02)
     await asyncio.sleep(0.5)
-    found = await send(site, 'i2', 30, program='other')
-    case.assertEqual({200: 30}, dict(found))
+    statuses = await send(site, 'i2', 30, program='other')
+    case.assertEqual({200: 30}, dict(statuses))
 
 
 async def test_refusals_are_counted_by_organisation(case, limited_site):
     site = await limited_site()
     await send_all(site, 30)
     pages = [
-        front.metrics.render().body.decode()
-        for front in site.instances.values()
+        instance.metrics.render().body.decode()
+        for instance in site.instances.values()
     ]
     [counted] = [
         line
--- a/tests/gateway/test_limits_rolls.py
+++ b/tests/gateway/test_limits_rolls.py
@@ -19,10 +19,10 @@
 
 async def _replace(site, names):
     """Stop some instances gracefully and start them again."""
-    fronts = [site.instances.pop(name) for name in names]
-    await asyncio.gather(*(front.stop() for front in fronts))
-    for front in fronts:
-        settings = front.settings
+    instances = [site.instances.pop(name) for name in names]
+    await asyncio.gather(*(instance.stop() for instance in instances))
+    for instance in instances:
+        settings = instance.settings
         await site.add_instance(settings.instance, settings.ip)
 
 
@@ -56,8 +56,8 @@
         await asyncio.sleep(1.2)
     await sending
     await asyncio.gather(*rolls)
-    most = test_limits.find_max_runs(site)
-    case.assertLessEqual(most, LIMIT * 1.1 + 2)
+    max_runs = test_limits.find_max_runs(site)
+    case.assertLessEqual(max_runs, LIMIT * 1.1 + 2)
 
 
 def _rank_coordinators(names):
@@ -89,18 +89,18 @@
     cut = _rank_coordinators(names)[:6]
     sending = asyncio.ensure_future(_send_through(site, 800, 0.02))
     await asyncio.sleep(3.0)
-    for one in cut:
+    for name in cut:
         for other in names:
-            if one != other:
+            if name != other:
                 network.cut(
-                    site.instances[one].settings.ip,
+                    site.instances[name].settings.ip,
                     site.instances[other].settings.ip,
                 )
     await asyncio.sleep(5.0)
     network.heal()
     await sending
-    most = test_limits.find_max_runs(site)
-    case.assertLessEqual(most, MAX_RUNS)
+    max_runs = test_limits.find_max_runs(site)
+    case.assertLessEqual(max_runs, MAX_RUNS)
 
 
 async def test_limit_holds_when_coordinators_are_killed(
@@ -113,9 +113,9 @@
     for name in _rank_coordinators(names)[:9]:
         site_fixtures.kill(site, network, name)
     await sending
-    most = test_limits.find_max_runs(site)
-    case.assertLessEqual(most, MAX_RUNS)
-    case.assertGreater(most, LIMIT * 0.8)
+    max_runs = test_limits.find_max_runs(site)
+    case.assertLessEqual(max_runs, MAX_RUNS)
+    case.assertGreater(max_runs, LIMIT * 0.8)
 
 
 load_tests = fixtures.adapt(__name__, [site_fixtures])
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -30,9 +30,9 @@
     await site.turn(
         'i1', 'first', program='new', budget=320, max_tokens=MAX_TOKENS
     )
-    for front in site.instances.values():
-        front._members.leave()
-        front._reservations.is_leaving = True
+    for instance in site.instances.values():
+        instance._members.leave()
+        instance._reservations.is_leaving = True
     await asyncio.sleep(0.5)
     answers = await asyncio.gather(
         *(
@@ -49,9 +49,9 @@
     case.assertEqual([200] * 5, [answer.status for answer in answers])
 
 
-async def _use_part_of_budget(front, program):
+async def _use_part_of_budget(instance, program):
     """Grant a whole budget to an instance and use a part of it."""
-    ledger, deadline = front._ledger, front._timers.now() + 1.0
+    ledger, deadline = instance._ledger, instance._timers.now() + 1.0
     await ledger.reserve(program, BUDGET, 'first', BUDGET, deadline)
     ledger.settle(program, 'first', 40)
 
@@ -78,15 +78,15 @@
     """
     program = site_fixtures.find_program_with_ranking('i1', 'i2', 'i3', 'i4')
     await site.start(4)
-    fronts = list(site.instances.values())
-    await _use_part_of_budget(fronts[0], program)
-    for leaving in (fronts[:3], fronts[3:]):
-        for front in leaving:
-            front._members.leave()
-            front._reservations.is_leaving = True
+    instances = list(site.instances.values())
+    await _use_part_of_budget(instances[0], program)
+    for leaving in (instances[:3], instances[3:]):
+        for instance in leaving:
+            instance._members.leave()
+            instance._reservations.is_leaving = True
         await asyncio.sleep(0.5)
-        for front in leaving:
-            await front._reservations.hand_over()
+        for instance in leaving:
+            await instance._reservations.hand_over()
     answers = await _send_turns(site, program)
     case.assertEqual([200] * 3, [answer.status for answer in answers])
 
@@ -117,7 +117,9 @@
     await asyncio.sleep(reservations_module.JOIN_PERIOD_SECONDS)
     await _use_part_of_budget(site.instances['i2'], program)
     members = site.instances['i1']._members
-    failed = [one for one in members.list_eligible() if one.instance == 'i2']
+    failed = [
+        peer for peer in members.list_eligible() if peer.instance == 'i2'
+    ]
     members.list_reachable = lambda: []
     members.list_failed = lambda: failed
     request = peer_messages.Reserve(program, BUDGET, 'a', 120)
@@ -195,8 +197,8 @@
         peer='10.1.0.9:7380',
     )
     site.instances['i1']._members.put_row('i9', msgspec.json.encode(row))
-    homes = site.instances['i1']._members.list_eligible()
-    case.assertIn('i9', [one.instance for one in homes])
+    eligible = site.instances['i1']._members.list_eligible()
+    case.assertIn('i9', [peer.instance for peer in eligible])
     await _use_part_of_budget(site.instances['i1'], program)
     await site.instances['i1']._reservations.hand_over()
     case.assertEqual(
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -112,11 +112,11 @@
     coordinator = site_fixtures.rank_coordinators(program, site.instances)[0]
     other = next(name for name in site.instances if name != coordinator)
     site.store.response_delay = 0.3
-    front = site.instances[other]
+    instance = site.instances[other]
     request = peer_messages.Reserve(program, MAX_TOKENS, 'lost', MAX_TOKENS)
     deadline = site.timers.now() + 0.1
     task = asyncio.ensure_future(
-        front._reservations.reserve(request, deadline)
+        instance._reservations.reserve(request, deadline)
     )
     await asyncio.sleep(0.15)
     task.cancel()
@@ -134,12 +134,12 @@
     The store applies the write and its response is lost.
     """
     await site.start(1)
-    front = site.instances['i1']
+    instance = site.instances['i1']
     request = peer_messages.Reserve('new', MAX_TOKENS, 'lost', MAX_TOKENS)
     site.store.lost_replies = 1
     deadline = site.timers.now() + 2.0
     task = asyncio.ensure_future(
-        front._reservations.reserve(request, deadline)
+        instance._reservations.reserve(request, deadline)
     )
     # The row is written by then, and the write is not retried yet.
     await asyncio.sleep(0.015)
@@ -218,14 +218,14 @@
     unused.
     """
     await site.start(3)
-    for front in list(site.instances.values()):
-        front._members.leave()
-        front._reservations.is_leaving = True
+    for instance in list(site.instances.values()):
+        instance._members.leave()
+        instance._reservations.is_leaving = True
     await asyncio.sleep(0.5)
     statuses = []
-    for number, instance in enumerate(('i1', 'i2', 'i3', 'i3')):
+    for number, name in enumerate(('i1', 'i2', 'i3', 'i3')):
         answer = await site.turn(
-            instance,
+            name,
             f'a{number}',
             program='new',
             budget=400,
@@ -287,7 +287,7 @@
 async def test_concurrent_turns_share_a_search(case, site):
     """Concurrent turns must not each query an unresponsive holder."""
     await site.start(2)
-    asked = []
+    queries = []
     sender = site.instances['i2']._sender
     receive = sender._receive
 
@@ -295,7 +295,7 @@
         if data[:1] == peers.MEMBERSHIP:
             receive(data, address)
         else:
-            asked.append(data)
+            queries.append(data)
 
     sender._receive = count
     collect = site.instances['i1']._reservations._transfers.collect
@@ -303,7 +303,7 @@
     await asyncio.gather(
         *(collect('new', deadline) for _ in range(50)), return_exceptions=True
     )
-    case.assertLessEqual(len(asked), 10)
+    case.assertLessEqual(len(queries), 10)
 
 
 async def test_unconfirmed_grant_is_found_after_another_write(case, site):
@@ -385,8 +385,8 @@
     ]
     answers = await asyncio.gather(
         *(
-            one._reserve_from_store(request, deadline)
-            for one, request in zip(reservations, requests, strict=True)
+            each._reserve_from_store(request, deadline)
+            for each, request in zip(reservations, requests, strict=True)
         ),
         return_exceptions=True,
     )
--- a/tests/programs/test_grants.py
+++ b/tests/programs/test_grants.py
@@ -86,26 +86,28 @@
         strategies.lists(strategies.booleans(), max_size=30),
         strategies.integers(0, 30),
     )
-    def check(budget, most, has_store, dies_after):
+    def check(budget, max_tokens, store_states, dies_after):
         row, owed, given, extra = None, 0, 0, 0
-        for number, is_store in enumerate(has_store):
+        for number, is_store_available in enumerate(store_states):
             if number == dies_after:
                 # The next coordinator charges credit after an outage.
-                extra, owed = most, 0
-                if not all(has_store[:number]):
-                    owed = grants.compute_charge(budget, most)
-            known = 0 if row is None else row.granted
-            if is_store:
-                base = grants.BudgetRow(budget, known + owed, 'w', 0.0)
-                grant = grants.plan_grant(base, budget, most, 'w', 0.0, extra)
+                extra, owed = max_tokens, 0
+                if not all(store_states[:number]):
+                    owed = grants.compute_charge(budget, max_tokens)
+            granted = 0 if row is None else row.granted
+            if is_store_available:
+                base = grants.BudgetRow(budget, granted + owed, 'w', 0.0)
+                grant = grants.plan_grant(
+                    base, budget, max_tokens, 'w', 0.0, extra
+                )
                 if grant is not None:
                     row, owed = grant.row, 0
                     given += grant.tokens
             elif number < dies_after:
-                tokens = grants.plan_credit(budget, known, owed, most)
+                tokens = grants.plan_credit(budget, granted, owed, max_tokens)
                 owed += tokens
                 given += tokens
-        case.assertLessEqual(given, budget + most)
+        case.assertLessEqual(given, budget + max_tokens)
 
     check()
 
