--- a/tests/gateway/test_all_leave.py
+++ b/tests/gateway/test_all_leave.py
@@ -32,7 +32,7 @@
 
     def __init__(self, site, seed):
         self._site = site
-        self._source = random.Random(seed)
+        self._rng = random.Random(seed)
         self._used = collections.Counter()
         self.is_ending = False
         self.is_stopped = False
@@ -45,15 +45,15 @@
             await self._run_program(f'p{number}-{program}')
 
     async def _run_program(self, program):
-        source = self._source
-        turns = source.randint(2, 5)
+        rng = self._rng
+        turns = rng.randint(2, 5)
         budget = (turns + SUB_AGENT_COUNT * SUB_AGENT_TURNS) * MAX_TURN_TOKENS
-        route = source.choice(('chat', 'plan'))
+        route = rng.choice(('chat', 'plan'))
         for _ in range(turns):
             if not await self._run_turn(program, budget, route):
                 return
-            await asyncio.sleep(source.uniform(0, 0.1))
-            if source.random() < 0.3:
+            await asyncio.sleep(rng.uniform(0, 0.1))
+            if rng.random() < 0.3:
                 await asyncio.gather(
                     *(
                         self._run_sub_agent(program, budget, route)
@@ -73,13 +73,13 @@
             answer = await self._try(program, budget, route)
             if answer in (200, 402):
                 return answer == 200
-            await asyncio.sleep(self._source.uniform(0.05, 0.4))
+            await asyncio.sleep(self._rng.uniform(0.05, 0.4))
         return False
 
     async def _try(self, program, budget, route):
         site = self._site
         request = site.make_request_id()
-        instance = self._source.choice(list(site.instances))
+        instance = self._rng.choice(list(site.instances))
         # The maximum is counted while the turn may be running.
         self._used[program] += MAX_TURN_TOKENS
         answer = await site_fixtures.try_turn(
@@ -104,19 +104,19 @@
 
 async def _run_stop(site, seed):
     """Stop all instances under load; return the programs refused wrongly."""
-    source = random.Random(f'stops {seed}')
+    rng = random.Random(f'stops {seed}')
     await site.start(INSTANCE_COUNT)
     callers = _Callers(site, seed)
     tasks = [
         asyncio.create_task(callers.run(number))
         for number in range(CALLER_COUNT)
     ]
-    await asyncio.sleep(3 + source.random())
+    await asyncio.sleep(3 + rng.random())
     callers.is_ending = True
     stops = []
     for instance in list(site.instances.values()):
         stops.append(asyncio.create_task(instance.stop()))
-        await asyncio.sleep(source.choice((0, 0.001, 0.003, 0.01, 0.05)))
+        await asyncio.sleep(rng.choice((0, 0.001, 0.003, 0.01, 0.05)))
     await asyncio.sleep(STOP_SECONDS)
     callers.is_stopped = True
     await asyncio.gather(*stops)
--- a/tests/gateway/test_credit.py
+++ b/tests/gateway/test_credit.py
@@ -39,7 +39,7 @@
 async def test_program_starts_while_the_store_is_unavailable(case, site):
     """A new program must not wait for the store to recover.
 
-    Its turns are not stored, and its coordinator knows that it has no grants
+    Its turns are not saved, and its coordinator knows that it has no grants
     elsewhere, so it starts on credit.
     """
     await site.start(3)
@@ -114,10 +114,10 @@
     case.assertGreaterEqual(runs * MAX_TOKENS, 800 - 400)
 
 
-async def test_stored_turn_does_not_hide_lost_credit(case, site, network):
+async def test_saved_turn_does_not_hide_lost_credit(case, site, network):
     """Lost credit must be charged although the next turn can't have credit.
 
-    The first turn at the next coordinator is stored, so that it gets no
+    The first turn at the next coordinator is saved, so that it gets no
     credit; the former coordinator gave credit to earlier turns.
     """
     await site.start(3)
@@ -230,8 +230,8 @@
     )
 
 
-async def test_stored_turn_gets_no_credit(case, site):
-    """A turn that must be stored does not run without the store."""
+async def test_saved_turn_gets_no_credit(case, site):
+    """A turn that must be saved does not run without the store."""
     await site.start(3)
     await _stop_store(site)
     answer = await site.turn('i1', 'kept', program='new')
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -31,7 +31,7 @@
 
 
 async def _kill_all(site, network):
-    """Kill all instances after a turn that is stored."""
+    """Kill all instances after a turn that is saved."""
     await site.start(1)
     answer = await site.turn('i1', 'before', program='old')
     site_fixtures.kill(site, network, 'i1')
@@ -75,8 +75,8 @@
     case.assertEqual(200, answer.status)
 
 
-async def test_stored_program_is_not_charged_for_credit(case, site, network):
-    """A program whose turns are stored must not be charged for credit.
+async def test_saved_program_is_not_charged_for_credit(case, site, network):
+    """A program whose turns are saved must not be charged for credit.
 
     Its turns never get credit, so that slow responses of the store must not
     reduce its budget at each new coordinator.
