--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -41,12 +41,12 @@
 
     def __init__(self, account: quotas.Account) -> None:
         self.account = account
-        self.opening: asyncio.Task | None = None
+        self.loading: asyncio.Task | None = None
         # Whether the row of the former coordinator was read.
-        self.is_known = False
+        self.is_loaded = False
         # When all instances have reported to this coordinator.
         self.settled_at = float('inf')
-        self.unsaved = 0
+        self.unsaved_count = 0
         self.is_saving = False
 
 
@@ -72,11 +72,11 @@
         self._spawn = spawn
         self._find_lost_share = find_lost_share
         self._is_leaving = is_leaving
-        self._needs = quotas.ProgramStatistics()
+        self._statistics = quotas.ProgramStatistics()
         self._entries: dict[str, _Entry] = {}
 
     def handle_request(
-        self, question: peer_messages.UsageReport
+        self, report: peer_messages.UsageReport
     ) -> (
         peer_messages.LimitStatus
         | peer_messages.Unavailable
@@ -89,21 +89,21 @@
         """
         if self._is_leaving():
             return peer_messages.Unavailable(False)
-        name = question.organisation
+        name = report.organisation
         entry = self._entries.get(name)
         if entry is None:
-            entry = _Entry(quotas.Account(self._window, self._needs))
+            entry = _Entry(quotas.Account(self._window, self._statistics))
             self._entries[name] = entry
-            self._begin(name, entry)
-        elif question.is_reassigned and self._is_settled(entry):
+            self._start_loading(name, entry)
+        elif report.is_reassigned and self._is_settled(entry):
             # Another instance has been the coordinator meanwhile.
-            self._begin(name, entry)
-        self._take(entry, question)
-        if entry.opening is not None:
-            if question.pending is None:
+            self._start_loading(name, entry)
+        self._record_usage(entry, report)
+        if entry.loading is not None:
+            if report.pending is None:
                 return peer_messages.LimitStatus(is_near_limit=True)
-            return self._answer_opened(entry, question)
-        return self._decide(entry, question)
+            return self._decide_when_loaded(entry, report)
+        return self._decide(entry, report)
 
     def prune(self) -> None:
         """Drop idle accounts."""
@@ -113,95 +113,100 @@
             if now - entry.account.last_used_at > ACCOUNT_IDLE_SECONDS:
                 del self._entries[name]
 
-    def _begin(self, name: str, entry: _Entry) -> None:
-        entry.is_known = False
-        entry.opening = asyncio.get_running_loop().create_task(
-            self._open(name, entry)
+    def _start_loading(self, name: str, entry: _Entry) -> None:
+        entry.is_loaded = False
+        entry.loading = asyncio.get_running_loop().create_task(
+            self._load(name, entry)
         )
 
     def _is_settled(self, entry: _Entry) -> bool:
         is_over = self._timers.now() > entry.settled_at + SETTLING_SECONDS
-        return entry.opening is None and is_over
+        return entry.loading is None and is_over
 
-    def _take(
-        self, entry: _Entry, question: peer_messages.UsageReport
+    def _record_usage(
+        self, entry: _Entry, report: peer_messages.UsageReport
     ) -> None:
         now = self._timers.now()
         account = entry.account
-        account.set_limit(question.limit, question.version)
-        if question.is_full:
-            account.window.remove_reporter(question.reporter)
-        for used in question.records:
-            at = now - used.age_ms / 1000
-            account.window.add(question.reporter, at, used.count)
-            asked = quotas.AdmissionRequest(used.program, used.route)
-            account.record(asked, used.count, now)
-            entry.unsaved += used.count
+        account.set_limit(report.limit, report.version)
+        if report.is_full:
+            account.window.remove_reporter(report.reporter)
+        for record in report.records:
+            at = now - record.age_ms / 1000
+            account.window.add(report.reporter, at, record.count)
+            request = quotas.AdmissionRequest(record.program, record.route)
+            account.record(request, record.count, now)
+            entry.unsaved_count += record.count
         account.last_used_at = now
 
-    async def _answer_opened(
-        self, entry: _Entry, question: peer_messages.UsageReport
+    async def _decide_when_loaded(
+        self, entry: _Entry, report: peer_messages.UsageReport
     ) -> peer_messages.LimitStatus:
-        if entry.opening is not None:
-            await asyncio.wait((entry.opening,))
-        return self._decide(entry, question)
+        if entry.loading is not None:
+            await asyncio.wait((entry.loading,))
+        return self._decide(entry, report)
 
     def _decide(
-        self, entry: _Entry, question: peer_messages.UsageReport
+        self, entry: _Entry, report: peer_messages.UsageReport
     ) -> peer_messages.LimitStatus:
         now = self._timers.now()
         account = entry.account
         if now >= entry.settled_at:
-            lost = self._find_lost_share()
-            reserve = quotas.get_reserve(account.limit, lost, entry.is_known)
+            lost_share = self._find_lost_share()
+            reserve = quotas.get_reserve(
+                account.limit, lost_share, entry.is_loaded
+            )
         else:
-            reserve = quotas.get_initial_reserve(account.limit, entry.is_known)
+            reserve = quotas.get_initial_reserve(
+                account.limit, entry.is_loaded
+            )
         account.reserve = reserve
-        standing = peer_messages.LimitStatus(False)
-        if question.pending is not None:
-            asked = quotas.AdmissionRequest(*question.pending)
-            match account.request_admission(question.reporter, asked, now):
-                case quotas.Refused() as found:
-                    standing = peer_messages.LimitStatus(
+        status = peer_messages.LimitStatus(False)
+        if report.pending is not None:
+            request = quotas.AdmissionRequest(*report.pending)
+            match account.request_admission(report.reporter, request, now):
+                case quotas.Refused() as refusal:
+                    status = peer_messages.LimitStatus(
                         False,
-                        _describe(found, account),
-                        found.retry_after,
-                        found.is_new,
+                        _describe(refusal, account),
+                        refusal.retry_after,
+                        refusal.is_new,
                     )
                 case quotas.Admitted():
-                    entry.unsaved += 1
-        self._save_soon(question.organisation, entry)
+                    entry.unsaved_count += 1
+        self._schedule_save(report.organisation, entry)
         return msgspec.structs.replace(
-            standing, is_near_limit=account.is_near_limit(now)
+            status, is_near_limit=account.is_near_limit(now)
         )
 
     # The store
 
-    async def _open(self, name: str, entry: _Entry) -> None:
+    async def _load(self, name: str, entry: _Entry) -> None:
         """Load the counts that a former coordinator has saved."""
         try:
             async with asyncio.timeout(READ_TIMEOUT_SECONDS):
                 saved = await self._read(name)
-                entry.is_known = True
+                entry.is_loaded = True
         except (TimeoutError, store_module.StoreError):
             saved = None
         now = self._timers.now()
         if saved is not None:
             age = max(0.0, self._timers.wall() - saved.time)
             entry.account.window.restore(
-                (now - age - one, count) for one, count in saved.counts
+                (now - age - entry_age, count)
+                for entry_age, count in saved.counts
             )
-        entry.opening = None
+        entry.loading = None
         entry.settled_at = now + SETTLING_SECONDS
 
     async def _read(self, name: str) -> SavedAccount | None:
-        where = _locate(name)
+        row_key = _make_row_key(name)
         page = await self._store.read(
             TABLE,
-            where.partition,
+            row_key.partition,
             READ_TIMEOUT_SECONDS,
-            where.key,
-            where.key + '\0',
+            row_key.key,
+            row_key.key + '\0',
         )
         for row in page.rows:
             try:
@@ -211,17 +216,17 @@
                 return None
         return None
 
-    def _save_soon(self, name: str, entry: _Entry) -> None:
+    def _schedule_save(self, name: str, entry: _Entry) -> None:
         account = entry.account
-        most = quotas.SAVE_RATIO * account.limit.tolerance
-        if entry.is_saving or entry.unsaved <= most:
+        max_unsaved = quotas.SAVE_RATIO * account.limit.tolerance
+        if entry.is_saving or entry.unsaved_count <= max_unsaved:
             return
         entry.is_saving = True
         self._spawn(self._save(name, entry))
 
     async def _save(self, name: str, entry: _Entry) -> None:
         now = self._timers.now()
-        count = entry.unsaved
+        count = entry.unsaved_count
         saved = SavedAccount(
             self._timers.wall(),
             tuple(
@@ -230,11 +235,11 @@
             ),
         )
         transaction = messages.Transaction(
-            (), ((_locate(name), _ENCODER.encode(saved)),)
+            (), ((_make_row_key(name), _ENCODER.encode(saved)),)
         )
         try:
             await self._store.transact(transaction, WRITE_TIMEOUT_SECONDS)
-            entry.unsaved -= count
+            entry.unsaved_count -= count
         except store_module.StoreError:
             # Retried with the next request.
             return
@@ -242,17 +247,17 @@
             entry.is_saving = False
 
 
-def _locate(organisation: str) -> messages.RowKey:
+def _make_row_key(organisation: str) -> messages.RowKey:
     key = f'{xxhash.xxh3_128_intdigest(organisation.encode()):032x}'
     return messages.RowKey(TABLE, partitions.find_partition(key), key)
 
 
-def _describe(found: quotas.Refused, account: quotas.Account) -> str:
-    kind = 'a new program' if found.is_new else 'a request'
+def _describe(refusal: quotas.Refused, account: quotas.Account) -> str:
+    kind = 'new program' if refusal.is_new else 'running program'
     return (
-        f'{kind}: {found.used} of {found.limit:.0f} used,'
-        f' {found.expected} expected, {account.reserve:.0f} kept back;'
-        f' limit of version {account.version}'
+        f'{kind}: {refusal.used} of {refusal.limit:.0f} requests used,'
+        f' {refusal.expected} expected, {account.reserve:.0f} reserved;'
+        f' limit of configuration version {account.version}'
     )
 
 
