--- a/libs/cluster/vanillayoke/cluster/membership.py
+++ b/libs/cluster/vanillayoke/cluster/membership.py
@@ -1,10 +1,10 @@
-"""Failure detection by random probing with indirect probes and gossip.
+"""Failure detection by random probes, indirect probes and gossip (SWIM).
 
-A pure state machine in the manner of SWIM: ``decide`` takes an event and the
-time, and returns what to send and what changed. The cost of an instance does
-not depend on the number of members: one probe per interval, whose messages
-carry a bounded amount of news. What it finds steers routing only; ownership
-moves by leases alone.
+A pure state machine: ``decide`` takes an event and the time, and returns what
+to send and what has changed. The cost of an instance does not depend on the
+number of members: it sends one probe per interval, and messages carry a
+limited amount of updates. The results affect routing only; ownership is
+decided by leases alone.
 """
 
 import math
@@ -18,59 +18,60 @@
 from vanillayoke.cluster import messages
 from vanillayoke.settings import process
 
-MUCH_SHARE = 0.1
-DEPARTURE_NOTICES = 4
-FORGET_INTERVAL = 30.0
+# If a member lacks more than this ratio of the records, it is sent many.
+LARGE_GAP_RATIO = 0.1
+DEPARTURE_NOTICE_COUNT = 4
+FORGET_INTERVAL_SECONDS = 30.0
 
 
 class Membership:
-    """The view that one instance has of all."""
+    """One instance's view of all instances."""
 
     def __init__(
         self,
         me: messages.Member,
         settings: process.ProbeSettings,
-        source: random.Random,
+        rng: random.Random,
         now: float,
     ) -> None:
         self.me = me
         self._settings = settings
-        self._source = source
+        self._rng = rng
         self._table = membership_table.Table()
-        self._plan = membership_probes.ProbePlan(source)
-        self._queue = membership_gossip.GossipQueue()
+        self._plan = membership_probes.ProbePlan(rng)
+        self._gossip = membership_gossip.GossipQueue()
         self._known = membership_gossip.KnownUpdates()
         self._composer = membership_packets.Composer(
-            self._table, self._known, self._queue
+            self._table, self._known, self._gossip
         )
-        self._sequence = 0
+        self._last_sequence = 0
         self._probe: membership_probes.Probe | None = None
         self._relays = membership_probes.Relays()
         self._listed: set[str] = set()
-        # Instances started together must not probe in step.
-        self._next_probe = now + source.random() * settings.interval
-        self._next_forget = now + FORGET_INTERVAL
+        # Instances that start together must not probe at the same time.
+        self._next_probe = now + rng.random() * settings.interval
+        self._next_forget = now + FORGET_INTERVAL_SECONDS
         self._actions: list[membership_events.Action] = []
-        self._queue.put(messages.MemberUpdate(me))
+        self._gossip.put(messages.MemberUpdate(me))
 
     def decide(
         self, event: membership_events.Event, now: float
     ) -> list[membership_events.Action]:
-        """Return what follows from an event."""
+        """Handle an event; return the actions that follow from it."""
         self._actions = []
         match event:
             case membership_events.Ticked():
-                self._tick(now)
+                self._handle_tick(now)
             case membership_events.Received(message):
-                self._receive(message, now)
+                self._handle_message(message, now)
             case membership_events.Listed(members):
-                self._take_list(members, now)
+                self._apply_list(members, now)
             case membership_events.Added(member):
                 self._add_listed(member, now)
             case membership_events.Removed(instance):
                 self._listed.discard(instance)
-            case membership_events.Published(news):
-                self._learn(news, now)
+            case membership_events.Published(update):
+                self._learn(update, now)
             case membership_events.Leaving():
                 self._change_own(messages.State.LEAVING)
             case membership_events.Departed():
@@ -93,10 +94,10 @@
 
     @property
     def configuration_version(self) -> int:
-        """The highest configuration version heard of."""
+        """The highest known configuration version."""
         return self._known.configuration
 
-    def _tick(self, now: float) -> None:
+    def _handle_tick(self, now: float) -> None:
         self._allow_for_pause(now)
         probe = self._probe
         if probe and probe.retry_at is not None and now >= probe.retry_at:
@@ -111,20 +112,18 @@
             self._forget(now)
 
     def _allow_for_pause(self, now: float) -> None:
-        # A process that was paused finds all its deadlines passed at once,
-        # while the answers wait unread in its sockets: it would suspect the
-        # member it was probing and fail those it suspected. The time that
-        # the tick came late by is given back to them, and one more timeout
-        # to read the answers in.
-        late = now - self.next_wake()
-        if late < self._settings.timeout:
+        # After a pause of the process all deadlines have passed at once, while
+        # responses wait unread in its sockets. Deadlines are extended by the
+        # delay of the tick and by one timeout for reading the responses.
+        delay = now - self.next_wake()
+        if delay < self._settings.timeout:
             return
-        late += self._settings.timeout
-        self._next_probe += late
-        self._next_forget += late
-        self._table.postpone(late)
+        delay += self._settings.timeout
+        self._next_probe += delay
+        self._next_forget += delay
+        self._table.postpone(delay)
         if self._probe is not None and self._probe.retry_at is not None:
-            self._probe.retry_at += late
+            self._probe.retry_at += delay
 
     # Probing
 
@@ -135,22 +134,21 @@
         entry = self._table.find(name) if name else None
         if entry is None:
             return
-        self._sequence += 1
+        self._last_sequence += 1
         retry_at = now + self._settings.timeout
         self._probe = membership_probes.Probe(
-            entry.member, self._sequence, retry_at
+            entry.member, self._last_sequence, retry_at
         )
-        self._send_ping(entry.member, self._sequence, attempt=0)
+        self._send_ping(entry.member, self._last_sequence, attempt=0)
 
     def _probe_indirectly(
         self, probe: membership_probes.Probe, now: float
     ) -> None:
         probe.retry_at = None
         member = probe.member
-        # Open connections can go silent for good while new ones work: pings
-        # then vanish though the member lives. The second ping goes over a
-        # new connection, and its attempt number makes the member renew the
-        # connection that its answers take.
+        # Open connections can become unresponsive while new ones work. The
+        # second ping takes a new connection, and its attempt number makes the
+        # member renew the connection of its acks.
         self._act(membership_events.Reconnect(member.peer_address))
         self._send_ping(member, probe.sequence, attempt=1)
         for helper in self._choose_helpers(member):
@@ -174,7 +172,7 @@
             and other.instance != member.instance
         ]
         count = min(self._settings.indirect, len(helpers))
-        return self._source.sample(helpers, count)
+        return self._rng.sample(helpers, count)
 
     def _end_probe(self, now: float) -> None:
         probe = self._probe
@@ -217,106 +215,108 @@
             self._composer.compose(receiver, self.me if introduce else None),
         )
 
-    # Receiving
+    # Messages
 
-    def _receive(self, message: messages.Message, now: float) -> None:
+    def _handle_message(self, message: messages.Message, now: float) -> None:
         incarnation = self.me.incarnation
-        for news in messages.decode_updates(message.updates):
-            self._learn(news, now)
+        for update in messages.decode_updates(message.updates):
+            self._learn(update, now)
         refuted = self.me.incarnation != incarnation
         match message:
             case messages.Ping():
-                self._answer(message, refuted)
+                self._acknowledge(message, refuted)
             case messages.Ack():
-                self._take_ack(message)
+                self._handle_ack(message)
             case messages.PingRequest():
-                self._relay(message, now)
+                self._forward_ping(message, now)
 
-    def _answer(self, ping: messages.Ping, refuted: bool) -> None:
+    def _acknowledge(self, ping: messages.Ping, refuted: bool) -> None:
         if ping.attempt > 0:
             self._act(membership_events.Reconnect(ping.reply_to))
         introduce = ping.introduce or refuted
-        news = self._composer.compose(
+        updates = self._composer.compose(
             ping.sender,
             self.me if introduce else None,
-            self._judge_need(ping),
+            self._estimate_need(ping),
         )
-        ack = messages.Ack(ping.sequence, self.me.instance, news)
+        ack = messages.Ack(ping.sequence, self.me.instance, updates)
         self._act(membership_events.Send(ping.reply_to, ack))
         if self._table.find(ping.sender) is None:
-            self._ask_to_introduce(ping)
+            self._request_introduction(ping)
 
-    def _judge_need(self, ping: messages.Ping) -> membership_packets.Need:
-        heard = self._table.confirmed
-        missing = max(ping.unconfirmed, heard - ping.confirmed)
-        if missing > heard * MUCH_SHARE:
+    def _estimate_need(self, ping: messages.Ping) -> membership_packets.Need:
+        confirmed = self._table.confirmed
+        missing = max(ping.unconfirmed, confirmed - ping.confirmed)
+        if missing > confirmed * LARGE_GAP_RATIO:
             return membership_packets.Need.MANY
         if missing > 0:
             return membership_packets.Need.SOME
         return membership_packets.Need.NONE
 
-    def _ask_to_introduce(self, ping: messages.Ping) -> None:
-        self._sequence += 1
-        question = self._make_ping(self._sequence, ping.sender, introduce=True)
-        self._act(membership_events.Send(ping.reply_to, question))
+    def _request_introduction(self, ping: messages.Ping) -> None:
+        self._last_sequence += 1
+        request = self._make_ping(
+            self._last_sequence, ping.sender, introduce=True
+        )
+        self._act(membership_events.Send(ping.reply_to, request))
 
-    def _take_ack(self, ack: messages.Ack) -> None:
+    def _handle_ack(self, ack: messages.Ack) -> None:
         if self._probe and self._probe.sequence == ack.sequence:
             self._probe = None
             return
         relay = self._relays.take(ack.sequence)
         if relay is None:
             return
-        answer = messages.Ack(relay.sequence, ack.sender, ack.updates)
-        self._act(membership_events.Send(relay.reply_to, answer))
+        forwarded = messages.Ack(relay.sequence, ack.sender, ack.updates)
+        self._act(membership_events.Send(relay.reply_to, forwarded))
 
-    def _relay(self, request: messages.PingRequest, now: float) -> None:
-        self._sequence += 1
+    def _forward_ping(self, request: messages.PingRequest, now: float) -> None:
+        self._last_sequence += 1
         expires = now + self._settings.interval
         relay = membership_probes.Relay(
             request.reply_to, request.sequence, expires
         )
-        if not self._relays.add(self._sequence, relay):
+        if not self._relays.add(self._last_sequence, relay):
             return
-        ping = self._make_ping(self._sequence, request.instance)
+        ping = self._make_ping(self._last_sequence, request.instance)
         self._act(membership_events.Send(request.address, ping))
 
-    # News
+    # Updates
 
-    def _learn(self, news: messages.Update, now: float) -> None:
-        if isinstance(news, messages.MemberUpdate):
-            self._learn_member(news.member, now)
-        elif self._known.learn(news):
-            self._queue.put(news)
-            self._act(membership_events.UpdateLearned(news))
+    def _learn(self, update: messages.Update, now: float) -> None:
+        if isinstance(update, messages.MemberUpdate):
+            self._learn_member(update.member, now)
+        elif self._known.learn(update):
+            self._gossip.put(update)
+            self._act(membership_events.UpdateLearned(update))
 
-    def _learn_member(self, news: messages.Member, now: float) -> None:
-        if news.instance == self.me.instance:
-            self._refute(news)
+    def _learn_member(self, record: messages.Member, now: float) -> None:
+        if record.instance == self.me.instance:
+            self._refute(record)
             return
-        entry = self._table.find(news.instance)
-        if news.state is messages.State.FAILED and entry and entry.is_alive:
-            # Word from behind a healing partition calls members failed that
-            # this side has been talking to all the time. They get the time
-            # to refute it, as after a failed probe of our own.
-            news = news._replace(state=messages.State.SUSPECTED)
-        self._merge_member(news, now)
-
-    def _merge_member(self, news: messages.Member, now: float) -> None:
-        change = self._table.merge(news, now)
+        entry = self._table.find(record.instance)
+        if record.state is messages.State.FAILED and entry and entry.is_alive:
+            # After a network partition has healed, the other side reports
+            # members as failed that this side can reach. They get the time to
+            # refute it, as after a failed probe of this instance.
+            record = record._replace(state=messages.State.SUSPECTED)
+        self._merge_member(record, now)
+
+    def _merge_member(self, record: messages.Member, now: float) -> None:
+        change = self._table.merge(record, now)
         if change is None:
             return
-        entry = self._table.find(news.instance)
-        if entry.is_confirmed and news.state is messages.State.SUSPECTED:
+        entry = self._table.find(record.instance)
+        if entry.is_confirmed and record.state is messages.State.SUSPECTED:
             self._table.suspect(entry, now + self._suspicion_time())
         if entry.is_confirmed:
-            self._queue.put(messages.MemberUpdate(news))
-        self._place(news)
+            self._gossip.put(messages.MemberUpdate(record))
+        self._place(record)
         self._act(membership_events.MemberChanged(change.before, change.after))
 
     def _suspicion_time(self) -> float:
-        # The suspicion has to reach the member and its refutation everybody,
-        # each in a number of intervals that grows with the logarithm.
+        # The suspicion has to reach the member, and the refutation everyone;
+        # both take intervals in proportion to the logarithm of their number.
         members = len(self._table) + 1
         return self._settings.suspicion * max(1.0, math.log2(members) / 2)
 
@@ -324,20 +324,20 @@
         if member.state is messages.State.LEFT:
             self._plan.discard(member.instance)
             return
-        near = member.region == self.me.region
-        lost = member.state is messages.State.FAILED
-        self._plan.place(member.instance, near, lost)
+        local = member.region == self.me.region
+        failed = member.state is messages.State.FAILED
+        self._plan.place(member.instance, local, failed)
 
-    def _refute(self, news: messages.Member) -> None:
-        if not membership_table.is_newer(news, self.me):
+    def _refute(self, record: messages.Member) -> None:
+        if not membership_table.is_newer(record, self.me):
             return
-        self.me = self.me._replace(incarnation=news.incarnation + 1)
-        self._queue.put(messages.MemberUpdate(self.me))
+        self.me = self.me._replace(incarnation=record.incarnation + 1)
+        self._gossip.put(messages.MemberUpdate(self.me))
         self._act(membership_events.Refuted(self.me.incarnation))
 
-    # The platform's list, leaving, forgetting
+    # The platform's list, departure, removal
 
-    def _take_list(
+    def _apply_list(
         self, members: tuple[messages.Member, ...], now: float
     ) -> None:
         self._listed.clear()
@@ -349,29 +349,29 @@
         if member.instance == self.me.instance:
             return
         if self._table.find(member.instance) is None:
-            unheard = member._replace(
+            unconfirmed = member._replace(
                 incarnation=membership_table.LISTED_INCARNATION,
                 state=messages.State.SUSPECTED,
             )
-            self._merge_member(unheard, now)
+            self._merge_member(unconfirmed, now)
 
     def _change_own(self, state: messages.State) -> None:
         self.me = self.me._replace(
             incarnation=self.me.incarnation + 1, state=state
         )
-        self._queue.put(messages.MemberUpdate(self.me))
+        self._gossip.put(messages.MemberUpdate(self.me))
 
     def _depart(self) -> None:
         self._change_own(messages.State.LEFT)
         live = self._table.list_live()
-        count = min(DEPARTURE_NOTICES, len(live))
-        for member in self._source.sample(live, count):
-            news = self._composer.compose(member.instance, self.me)
-            notice = messages.Notice(self.me.instance, news)
+        count = min(DEPARTURE_NOTICE_COUNT, len(live))
+        for member in self._rng.sample(live, count):
+            updates = self._composer.compose(member.instance, self.me)
+            notice = messages.Notice(self.me.instance, updates)
             self._act(membership_events.Send(member.peer_address, notice))
 
     def _forget(self, now: float) -> None:
-        self._next_forget = now + FORGET_INTERVAL
+        self._next_forget = now + FORGET_INTERVAL_SECONDS
         for instance in self._table.forget(now, self._listed):
             self._plan.discard(instance)
 
--- a/libs/cluster/vanillayoke/cluster/membership_events.py
+++ b/libs/cluster/vanillayoke/cluster/membership_events.py
@@ -1,4 +1,4 @@
-"""What membership is told, and what it answers to be done."""
+"""The events that membership handles, and the actions that it returns."""
 
 import typing
 
@@ -6,41 +6,44 @@
 
 
 class Ticked(typing.NamedTuple):
-    """The time that ``Membership.next_wake`` gave has come."""
+    """The time returned by ``Membership.next_wake`` is reached."""
 
 
 class Received(typing.NamedTuple):
-    """A message came from another instance."""
+    """A message of another instance was received."""
 
     message: messages.Message
 
 
 class Listed(typing.NamedTuple):
-    """The platform's list was read; members are of incarnation 0."""
+    """The platform's list of instances was read.
+
+    The members have incarnation 0.
+    """
 
     members: tuple[messages.Member, ...]
 
 
 class Added(typing.NamedTuple):
-    """One member more stands in the platform's list, of incarnation 0."""
+    """A member, of incarnation 0, was added to the platform's list."""
 
     member: messages.Member
 
 
 class Removed(typing.NamedTuple):
-    """An instance stands in the platform's list no more."""
+    """An instance was removed from the platform's list."""
 
     instance: str
 
 
 class Published(typing.NamedTuple):
-    """This instance has news for the others."""
+    """This instance publishes an update."""
 
     update: messages.Update
 
 
 class Leaving(typing.NamedTuple):
-    """This instance begins to drain."""
+    """This instance starts to drain."""
 
 
 class Departed(typing.NamedTuple):
@@ -67,7 +70,7 @@
 
 
 class Reconnect(typing.NamedTuple):
-    """Drop the connection to a peer address, since it may be silent."""
+    """Replace the connection to a peer, which may be unresponsive."""
 
     address: str
 
@@ -80,13 +83,13 @@
 
 
 class UpdateLearned(typing.NamedTuple):
-    """News other than of members came or was published."""
+    """An update other than of a member was received or published."""
 
     update: messages.Update
 
 
 class Refuted(typing.NamedTuple):
-    """Others held this instance for suspected or failed."""
+    """A suspicion or failure of this instance was refuted."""
 
     incarnation: int
 
--- a/libs/cluster/vanillayoke/cluster/membership_packets.py
+++ b/libs/cluster/vanillayoke/cluster/membership_packets.py
@@ -1,4 +1,4 @@
-"""Which news a message carries."""
+"""The choice of the updates that a message carries."""
 
 import enum
 
@@ -14,14 +14,14 @@
 
 
 class Need(enum.Enum):
-    """How much of the table the receiver of a message lacks."""
+    """How many member records the receiver of a message lacks."""
 
     NONE = 0
     SOME = 1
     MANY = 2
 
 
-_FILLER = {Need.NONE: 2, Need.SOME: 12, Need.MANY: 80}
+_FILLER_COUNTS = {Need.NONE: 2, Need.SOME: 12, Need.MANY: 80}
 _BUDGETS = {
     Need.NONE: UPDATE_BUDGET_BYTES,
     Need.SOME: REPAIR_BUDGET_BYTES,
@@ -30,7 +30,7 @@
 
 
 class Composer:
-    """Fills messages with news, the most needed first."""
+    """Fills messages with updates, the most needed first."""
 
     def __init__(
         self,
@@ -48,15 +48,19 @@
         me: messages.Member | None = None,
         need: Need = Need.NONE,
     ) -> list[msgspec.Raw]:
-        """Return the news for a receiver, within a number of bytes.
+        """Return the updates for a receiver, within a number of bytes.
 
-        ``me`` is this instance's own record where the receiver needs it.
+        ``me`` is this instance's own record, if the receiver needs it.
         """
-        news = self._list_needed(receiver, me)
-        budget = _BUDGETS[need] - _measure(news)
-        queued = self._queue.take(budget, self._table.live + 1)
-        budget -= _measure(queued)
-        return news + queued + self._fill(budget, _FILLER[need])
+        updates = self._list_needed(receiver, me)
+        budget_bytes = _BUDGETS[need] - _count_bytes(updates)
+        queued = self._queue.take(budget_bytes, self._table.live + 1)
+        budget_bytes -= _count_bytes(queued)
+        return (
+            updates
+            + queued
+            + self._list_fillers(budget_bytes, _FILLER_COUNTS[need])
+        )
 
     def _list_needed(
         self, receiver: str, me: messages.Member | None
@@ -64,8 +68,8 @@
         needed: list[messages.Update] = []
         if me is not None:
             needed.append(messages.MemberUpdate(me))
-        # Only the member itself can refute a suspicion, so it is always told
-        # what it is held for, however long ago the news went round.
+        # Only the member itself can refute a suspicion, so it is always sent
+        # its state, however long ago the update was spread.
         entry = self._table.find(receiver)
         if entry and entry.is_confirmed and _is_refutable(entry.member):
             needed.append(messages.MemberUpdate(entry.member))
@@ -75,21 +79,23 @@
         if self._known.configuration > 0:
             version = self._known.configuration
             needed.append(messages.ConfigurationUpdate(version))
-        return [messages.encode_update(news) for news in needed]
+        return [messages.encode_update(update) for update in needed]
 
-    def _fill(self, budget: int, count: int) -> list[msgspec.Raw]:
-        filled = []
+    def _list_fillers(
+        self, budget_bytes: int, count: int
+    ) -> list[msgspec.Raw]:
+        fillers = []
         for member in self._table.cycle(count):
             raw = messages.encode_update(messages.MemberUpdate(member))
-            budget -= len(bytes(raw))
-            if budget < 0:
+            budget_bytes -= len(bytes(raw))
+            if budget_bytes < 0:
                 break
-            filled.append(raw)
-        return filled
+            fillers.append(raw)
+        return fillers
 
 
-def _measure(news: list[msgspec.Raw]) -> int:
-    return sum(len(bytes(raw)) for raw in news)
+def _count_bytes(updates: list[msgspec.Raw]) -> int:
+    return sum(len(bytes(raw)) for raw in updates)
 
 
 def _is_refutable(member: messages.Member) -> bool:
--- a/libs/cluster/vanillayoke/cluster/membership_probes.py
+++ b/libs/cluster/vanillayoke/cluster/membership_probes.py
@@ -1,24 +1,25 @@
-"""Whom to probe next, and which probes wait for an ack."""
+"""The order of probes, and the probes that wait for an ack."""
 
 import random
 import typing
 
 from vanillayoke.cluster import messages
 
-FAR_TURNS = 4
-LOST_TURNS = 8
+# Every so many probes one goes to another region, or to a failed member.
+REMOTE_PROBE_INTERVAL = 4
+FAILED_PROBE_INTERVAL = 8
 MAX_RELAYS = 64
 
 
 class Ring:
-    """Names in a shuffled order that each round takes all of.
+    """Names in a random order, each of which is chosen once in every round.
 
-    Going round a shuffled list bounds the time until a member is probed;
-    choosing at random each time would leave some out for long.
+    This bounds the time until a member is probed, unlike a random choice each
+    time.
     """
 
-    def __init__(self, source: random.Random) -> None:
-        self._source = source
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._names: list[str] = []
         self._known: set[str] = set()
         self._position = 0
@@ -27,29 +28,32 @@
         return len(self._names)
 
     def add(self, name: str) -> None:
-        """Put a name at a random place, so that joiners do not line up."""
+        """Insert a name at a random position.
+
+        Members that joined together should not be probed in a row.
+        """
         if name in self._known:
             return
         self._known.add(name)
-        place = self._source.randint(0, len(self._names))
-        self._names.insert(place, name)
-        if place < self._position:
+        index = self._rng.randint(0, len(self._names))
+        self._names.insert(index, name)
+        if index < self._position:
             self._position += 1
 
     def discard(self, name: str) -> None:
-        """Take a name out."""
+        """Remove a name."""
         if name not in self._known:
             return
         self._known.remove(name)
-        place = self._names.index(name)
-        del self._names[place]
-        if place < self._position:
+        index = self._names.index(name)
+        del self._names[index]
+        if index < self._position:
             self._position -= 1
 
     def choose(self) -> str:
         """Return the next name; the ring must not be empty."""
         if self._position >= len(self._names):
-            self._source.shuffle(self._names)
+            self._rng.shuffle(self._names)
             self._position = 0
         name = self._names[self._position]
         self._position += 1
@@ -57,55 +61,55 @@
 
 
 class ProbePlan:
-    """Shares the probes between own region, other regions and lost members.
+    """Divides probes among the own region, other regions and failed members.
 
-    Most probes stay in the own region, where most traffic and the shortest
-    ways are. Lost members get a small share, so that a healed partition is
-    noticed; a failed member thus costs no more than a live one.
+    Most probes stay in the own region, where most of the traffic is. Failed
+    members are probed more rarely, so that the end of a network partition is
+    detected.
     """
 
-    def __init__(self, source: random.Random) -> None:
-        self._near = Ring(source)
-        self._far = Ring(source)
-        self._lost = Ring(source)
-        self._turn = 0
+    def __init__(self, rng: random.Random) -> None:
+        self._local = Ring(rng)
+        self._remote = Ring(rng)
+        self._failed = Ring(rng)
+        self._probe_count = 0
 
-    def place(self, name: str, near: bool, lost: bool) -> None:
-        """Put a member into the ring that fits it now."""
-        if lost:
-            fitting = self._lost
+    def place(self, name: str, local: bool, failed: bool) -> None:
+        """Put a member into the ring of its region or of failed members."""
+        if failed:
+            ring_of_member = self._failed
         else:
-            fitting = self._near if near else self._far
-        for ring in (self._near, self._far, self._lost):
-            if ring is not fitting:
+            ring_of_member = self._local if local else self._remote
+        for ring in (self._local, self._remote, self._failed):
+            if ring is not ring_of_member:
                 ring.discard(name)
-        fitting.add(name)
+        ring_of_member.add(name)
 
     def discard(self, name: str) -> None:
-        """Probe a member no more."""
-        for ring in (self._near, self._far, self._lost):
+        """Stop probing a member."""
+        for ring in (self._local, self._remote, self._failed):
             ring.discard(name)
 
     def choose(self) -> str | None:
-        """Return whom to probe now; ``None`` where there is nobody."""
-        self._turn += 1
-        for ring in self._rank_rings():
+        """Return the member to probe next, ``None`` if there is none."""
+        self._probe_count += 1
+        for ring in self._order_rings():
             if len(ring):
                 return ring.choose()
         return None
 
-    def _rank_rings(self) -> tuple[Ring, ...]:
-        if self._turn % LOST_TURNS == 0:
-            return (self._lost, self._near, self._far)
-        if self._turn % FAR_TURNS == 1:
-            return (self._far, self._near, self._lost)
-        return (self._near, self._far, self._lost)
+    def _order_rings(self) -> tuple[Ring, ...]:
+        if self._probe_count % FAILED_PROBE_INTERVAL == 0:
+            return (self._failed, self._local, self._remote)
+        if self._probe_count % REMOTE_PROBE_INTERVAL == 1:
+            return (self._remote, self._local, self._failed)
+        return (self._local, self._remote, self._failed)
 
 
 class Probe:
-    """The probe that now waits for its ack.
+    """The probe that waits for its ack.
 
-    ``retry_at`` is ``None`` once it was repeated.
+    ``retry_at`` is ``None`` once the probe was repeated.
     """
 
     def __init__(
@@ -117,7 +121,7 @@
 
 
 class Relay(typing.NamedTuple):
-    """A ping sent for another instance, which waits for the answer."""
+    """A ping sent on behalf of another instance, which awaits the ack."""
 
     reply_to: str
     sequence: int
@@ -125,24 +129,24 @@
 
 
 class Relays:
-    """The pings sent for others, a bounded number of them."""
+    """The pings sent on behalf of other instances, at most ``MAX_RELAYS``."""
 
     def __init__(self) -> None:
         self._relays: dict[int, Relay] = {}
 
     def add(self, sequence: int, relay: Relay) -> bool:
-        """Keep a relay unless there are too many."""
+        """Add a relay; return False if there are too many."""
         if len(self._relays) >= MAX_RELAYS:
             return False
         self._relays[sequence] = relay
         return True
 
     def take(self, sequence: int) -> Relay | None:
-        """Return and drop the relay of a ping."""
+        """Remove and return the relay of a ping."""
         return self._relays.pop(sequence, None)
 
     def expire(self, now: float) -> None:
-        """Drop the relays whose answers nobody waits for any more."""
+        """Drop the relays whose acks are no longer awaited."""
         self._relays = {
             sequence: relay
             for sequence, relay in self._relays.items()
--- a/libs/cluster/vanillayoke/cluster/membership_table.py
+++ b/libs/cluster/vanillayoke/cluster/membership_table.py
@@ -1,4 +1,4 @@
-"""What one instance holds of the others, and which word of them counts."""
+"""The member records of one instance, and which update of them wins."""
 
 import math
 import typing
@@ -13,10 +13,11 @@
 
 
 class Entry:
-    """One member, since when it is in its state, and until when suspected.
+    """The record of one member.
 
-    Times are this process's monotonic seconds. A member of incarnation 0 is
-    known only from the platform's list and has not been heard of yet.
+    ``since`` is when it got into its state, ``fails_at`` when an unrefuted
+    suspicion becomes a failure, in this process's monotonic seconds. A member
+    of incarnation 0 is only listed by the platform so far.
     """
 
     def __init__(self, member: messages.Member, since: float) -> None:
@@ -26,43 +27,46 @@
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether any instance ever heard of it."""
+        """Whether an update was received, so that it isn't only listed."""
         return self.member.incarnation > LISTED_INCARNATION
 
     @property
     def is_alive(self) -> bool:
-        """Whether it is held for alive, be it on the point of leaving."""
+        """Whether the state is alive or leaving."""
         states = (messages.State.ALIVE, messages.State.LEAVING)
         return self.member.state in states
 
 
 class Change(typing.NamedTuple):
-    """A member's record changed; ``before`` is ``None`` for a new one."""
+    """A change of a record; ``before`` is ``None`` for a new member."""
 
     before: messages.Member | None
     after: messages.Member
 
 
-def is_newer(news: messages.Member, known: messages.Member) -> bool:
-    """Tell whether news of a member overrides what is known.
+def is_newer(update: messages.Member, known: messages.Member) -> bool:
+    """Return whether an update of a member overrides the known record.
 
-    The order by incarnation and state is total, so that all instances end
-    with the same record in whatever order they hear of it.
+    The order by incarnation and state is total, so that the records of all
+    instances converge in whatever order updates arrive.
     """
-    return (news.incarnation, news.state) > (known.incarnation, known.state)
+    return (update.incarnation, update.state) > (
+        known.incarnation,
+        known.state,
+    )
 
 
 class Table:
-    """The members that one instance knows, itself left out.
+    """The records of all members except this instance.
 
-    ``live`` counts those that neither failed nor left, ``heard`` those of
-    them that were heard of.
+    ``live`` counts the members that have neither failed nor left,
+    ``confirmed`` those of them that are confirmed.
     """
 
     def __init__(self) -> None:
         self._entries: dict[str, Entry] = {}
         self._suspected: dict[str, Entry] = {}
-        self._cycle: list[str] = []
+        self._cycle_names: list[str] = []
         self.live = 0
         self.confirmed = 0
 
@@ -70,48 +74,48 @@
         return len(self._entries)
 
     def find(self, instance: str) -> Entry | None:
-        """Return the entry of an instance."""
+        """Return the entry of an instance, ``None`` if it is unknown."""
         return self._entries.get(instance)
 
     def list_members(self) -> list[messages.Member]:
-        """Return all members, also those that failed or left."""
+        """Return all members, including those that failed or left."""
         return [entry.member for entry in self._entries.values()]
 
     def list_live(self) -> list[messages.Member]:
-        """Return the members that neither failed nor left."""
+        """Return the members that have neither failed nor left."""
         return [
             member
             for member in self.list_members()
             if member.state not in _GONE
         ]
 
-    def merge(self, news: messages.Member, now: float) -> Change | None:
-        """Take news of a member over where they are newer."""
-        entry = self._entries.get(news.instance)
-        if entry is not None and not is_newer(news, entry.member):
+    def merge(self, update: messages.Member, now: float) -> Change | None:
+        """Apply an update; return ``None`` if it is not newer."""
+        entry = self._entries.get(update.instance)
+        if entry is not None and not is_newer(update, entry.member):
             return None
         before = None
         if entry is not None:
             before = entry.member
-            self._count(entry, -1)
-        entry = Entry(news, now)
-        self._entries[news.instance] = entry
-        self._suspected.pop(news.instance, None)
-        self._count(entry, 1)
-        return Change(before, news)
-
-    def _count(self, entry: Entry, change: int) -> None:
+            self._adjust_counts(entry, -1)
+        entry = Entry(update, now)
+        self._entries[update.instance] = entry
+        self._suspected.pop(update.instance, None)
+        self._adjust_counts(entry, 1)
+        return Change(before, update)
+
+    def _adjust_counts(self, entry: Entry, change: int) -> None:
         if entry.member.state not in _GONE:
             self.live += change
             self.confirmed += change if entry.is_confirmed else 0
 
     def suspect(self, entry: Entry, fails_at: float) -> None:
-        """Give a suspected member until a time to refute it."""
+        """Record a suspicion that the member may refute until ``fails_at``."""
         entry.fails_at = fails_at
         self._suspected[entry.member.instance] = entry
 
     def list_overdue(self, now: float) -> list[Entry]:
-        """Return the suspected members whose time to refute ran out."""
+        """Return the suspected members that did not refute in time."""
         return [
             entry
             for entry in self._suspected.values()
@@ -119,20 +123,20 @@
         ]
 
     def find_next_deadline(self) -> float | None:
-        """Return when the next suspicion runs out."""
+        """Return when the next suspicion becomes a failure."""
         deadlines = (entry.fails_at for entry in self._suspected.values())
         return min(deadlines, default=None)
 
     def postpone(self, delay: float) -> None:
-        """Move the ends of all suspicions."""
+        """Postpone the ends of all suspicions."""
         for entry in self._suspected.values():
             entry.fails_at += delay
 
     def forget(self, now: float, listed: typing.Container[str]) -> list[str]:
-        """Drop members gone for long; return their names.
+        """Drop members that failed or left long ago; return their names.
 
-        The record of a member that is gone outlives the packets that still
-        call it alive; otherwise it would come back to life by them.
+        Their records must outlive the packets that still report them alive, or
+        else these would add them again.
         """
         forgotten = [
             instance
@@ -144,17 +148,17 @@
         return forgotten
 
     def cycle(self, count: int) -> list[messages.Member]:
-        """Return the next members, round by round, alive or leaving only.
+        """Return the next members in a cycle, only those alive or leaving.
 
-        Packets are filled up with these so that lost news comes through at
-        last. Members that failed are left out: after a partition heals, each
-        side would mark the other's members as failed once more.
+        Packets are filled up with these to repair lost updates. Failed members
+        are omitted: after a network partition has healed, each side would mark
+        the members of the other as failed again.
         """
         chosen: list[messages.Member] = []
         for _ in range(min(count, len(self._entries))):
-            if not self._cycle:
-                self._cycle = list(self._entries)
-            entry = self._entries.get(self._cycle.pop())
+            if not self._cycle_names:
+                self._cycle_names = list(self._entries)
+            entry = self._entries.get(self._cycle_names.pop())
             if entry is not None and entry.is_confirmed and entry.is_alive:
                 chosen.append(entry.member)
         return chosen
--- a/libs/cluster/vanillayoke/cluster/messages.py
+++ b/libs/cluster/vanillayoke/cluster/messages.py
@@ -1,7 +1,7 @@
-"""Messages between instances, and what they say of each other.
+"""Membership messages between instances, and the updates that they carry.
 
-All are MessagePack arrays: field names stay off the wire, so that a packet
-holds more news. New fields go to the end with a default.
+All are encoded as MessagePack arrays without field names, so that a packet
+holds more updates. New fields are appended with a default.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class State(enum.IntEnum):
-    """What the other instances hold a member for."""
+    """The state of a member as the other instances see it."""
 
     ALIVE = 0
     LEAVING = 1
@@ -21,9 +21,9 @@
 
 
 class Member(typing.NamedTuple):
-    """One instance as membership knows it; addresses are ``IP:PORT``.
+    """The record of one instance; addresses are ``IP:PORT``.
 
-    Only the instance itself raises ``incarnation``: at each start and to
+    Only the instance itself raises ``incarnation``, at each start and to
     refute a suspicion.
     """
 
@@ -37,7 +37,7 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True, tag='m'):
-    """A member changed its state."""
+    """The state of a member has changed."""
 
     member: Member
 
@@ -45,13 +45,13 @@
 class ConfigurationUpdate(
     msgspec.Struct, frozen=True, array_like=True, tag='c'
 ):
-    """An instance has seen an accepted configuration of this version."""
+    """A configuration of this version has been accepted."""
 
     version: int
 
 
 class TargetState(enum.IntEnum):
-    """What an instance found out about a target."""
+    """The state of a target as an instance has observed it."""
 
     RECOVERED = 0
     LEAVING = 1
@@ -59,10 +59,10 @@
 
 
 class TargetUpdate(msgspec.Struct, frozen=True, array_like=True, tag='t'):
-    """A target leaves, failed or is back.
+    """The state of a target has changed.
 
-    ``observed`` is the observer's hybrid time in wall milliseconds: of two
-    news of one target, the later one holds.
+    ``observed`` is the observer's hybrid time in wall milliseconds; the latest
+    update of a target wins.
     """
 
     target: str
@@ -71,7 +71,7 @@
 
 
 class FencedUpdate(msgspec.Struct, frozen=True, array_like=True, tag='f'):
-    """An instance's lease was taken; ``incarnation`` is that of the lease."""
+    """An instance's lease was taken over; ``incarnation`` is the lease's."""
 
     instance: str
     incarnation: str
@@ -81,12 +81,12 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag='P'):
-    """Ask a member whether it is there.
+    """Probe a member.
 
-    ``reply_to`` is the address that the ``Ack`` goes to. ``attempt`` 1 says
-    that the answer to attempt 0 did not come. ``introduce`` asks for news of
-    the answering member itself. ``known`` counts the members that the sender
-    has heard of, ``unheard`` those that it knows from the list only.
+    ``reply_to`` is the address that the ``Ack`` goes to. ``attempt`` 1 means
+    that attempt 0 was not acknowledged. ``introduce`` requests the record of
+    the probed member. ``confirmed`` counts the sender's members of which it
+    has received updates, ``unconfirmed`` those that are only listed.
     """
 
     sequence: int
@@ -100,7 +100,7 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag='A'):
-    """Answer a ping; ``sequence`` is that of the ping."""
+    """Acknowledge a ping; ``sequence`` is that of the ping."""
 
     sequence: int
     sender: str
@@ -108,7 +108,7 @@
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag='R'):
-    """Ask a third member to ping ``address`` and pass the answer back."""
+    """Request a third member to ping ``address`` and forward the ``Ack``."""
 
     sequence: int
     sender: str
@@ -119,7 +119,7 @@
 
 
 class Notice(msgspec.Struct, frozen=True, array_like=True, tag='N'):
-    """Tell news that cannot wait for the next ping; no answer is due."""
+    """Send updates that can't wait for the next ping; not acknowledged."""
 
     sender: str
     updates: list[msgspec.Raw] = []
@@ -129,7 +129,7 @@
 
 
 class Packet(msgspec.Struct, frozen=True, array_like=True):
-    """What goes over the wire; ``time`` is the sender's hybrid time."""
+    """A message on the wire; ``time`` is the sender's hybrid time."""
 
     time: int
     message: Message
@@ -137,38 +137,38 @@
 
 _ENCODER = msgspec.msgpack.Encoder()
 _PACKET_DECODER = msgspec.msgpack.Decoder(Packet)
-_NEWS_DECODER = msgspec.msgpack.Decoder(Update)
+_UPDATE_DECODER = msgspec.msgpack.Decoder(Update)
 
 
 def encode_packet(packet: Packet) -> bytes:
-    """Return a packet's bytes on the wire."""
+    """Return a packet as sent on the wire."""
     return _ENCODER.encode(packet)
 
 
 def decode_packet(data: bytes) -> Packet | None:
-    """Return the packet in a received message; ``None`` if malformed."""
+    """Return a received packet, ``None`` if it is malformed."""
     try:
         return _PACKET_DECODER.decode(data)
     except msgspec.DecodeError:
         return None
 
 
-def encode_update(news: Update) -> msgspec.Raw:
-    """Return news as it stands in a packet."""
-    return msgspec.Raw(_ENCODER.encode(news))
+def encode_update(update: Update) -> msgspec.Raw:
+    """Return an update as encoded in a packet."""
+    return msgspec.Raw(_ENCODER.encode(update))
 
 
 def decode_updates(encoded: typing.Iterable[msgspec.Raw]) -> list[Update]:
-    """Return the news that this version understands.
+    """Return the updates that this version can decode.
 
-    During a rolling upgrade newer instances may send kinds of news that this
-    one does not know. They are passed over one by one: refusing the whole
-    packet would lose the ack in it and make a live member look failed.
+    During a rolling upgrade newer instances may send kinds of updates that
+    this one does not know. Only these are dropped: with the whole packet an
+    ack would get lost, and a live member would look failed.
     """
-    found = []
+    updates = []
     for raw in encoded:
         try:
-            found.append(_NEWS_DECODER.decode(raw))
+            updates.append(_UPDATE_DECODER.decode(raw))
         except msgspec.DecodeError:
             continue
-    return found
+    return updates
