--- a/libs/cluster/vanillayoke/cluster/membership_gossip.py
+++ b/libs/cluster/vanillayoke/cluster/membership_gossip.py
@@ -119,9 +119,9 @@
         return True
 
     def _learn_target(self, update: messages.TargetUpdate) -> bool:
-        known = self._targets.pop(update.target, None)
-        if known is not None and not _is_later(update, known):
-            self._targets[update.target] = known
+        current = self._targets.pop(update.target, None)
+        if current is not None and not _is_later(update, current):
+            self._targets[update.target] = current
             return False
         self._targets[update.target] = update
         if len(self._targets) > MAX_TARGETS:
@@ -138,11 +138,11 @@
 
 
 def _is_later(
-    update: messages.TargetUpdate, known: messages.TargetUpdate
+    update: messages.TargetUpdate, current: messages.TargetUpdate
 ) -> bool:
     # Every instance that uses a target sees it fail. So that its observations
     # don't crowd out other updates, one of the same state is new only after
     # TARGET_UPDATE_LIFETIME_MS.
-    if update.state is known.state:
-        return update.observed > known.observed + TARGET_UPDATE_LIFETIME_MS
-    return update.observed > known.observed
+    if update.state is current.state:
+        return update.observed > current.observed + TARGET_UPDATE_LIFETIME_MS
+    return update.observed > current.observed
--- a/libs/cluster/vanillayoke/cluster/membership_packets.py
+++ b/libs/cluster/vanillayoke/cluster/membership_packets.py
@@ -35,11 +35,11 @@
     def __init__(
         self,
         table: membership_table.Table,
-        known: membership_gossip.KnownUpdates,
+        known_updates: membership_gossip.KnownUpdates,
         queue: membership_gossip.GossipQueue,
     ) -> None:
         self._table = table
-        self._known = known
+        self._known_updates = known_updates
         self._queue = queue
 
     def compose(
@@ -73,11 +73,11 @@
         entry = self._table.find(receiver)
         if entry and entry.is_confirmed and _is_refutable(entry.member):
             needed.append(messages.MemberUpdate(entry.member))
-        fenced = self._known.find_fenced(receiver)
+        fenced = self._known_updates.find_fenced(receiver)
         if fenced is not None:
             needed.append(fenced)
-        if self._known.configuration > 0:
-            version = self._known.configuration
+        if self._known_updates.configuration > 0:
+            version = self._known_updates.configuration
             needed.append(messages.ConfigurationUpdate(version))
         return [messages.encode_update(update) for update in needed]
 
--- a/libs/cluster/vanillayoke/cluster/membership_probes.py
+++ b/libs/cluster/vanillayoke/cluster/membership_probes.py
@@ -5,7 +5,7 @@
 
 from vanillayoke.cluster import messages
 
-# Every so many probes one goes to another region, or to a failed member.
+# One of so many probes goes to another region, or to a failed member.
 REMOTE_PROBE_INTERVAL = 4
 FAILED_PROBE_INTERVAL = 8
 MAX_RELAYS = 64
--- a/libs/cluster/vanillayoke/cluster/membership_table.py
+++ b/libs/cluster/vanillayoke/cluster/membership_table.py
@@ -17,7 +17,7 @@
 
     ``since`` is when it got into its state, ``fails_at`` when an unrefuted
     suspicion becomes a failure, in this process's monotonic seconds. A member
-    of incarnation 0 is only listed by the platform so far.
+    of incarnation 0 has only been listed by the platform.
     """
 
     def __init__(self, member: messages.Member, since: float) -> None:
--- a/libs/gateway/vanillayoke/gateway/catalog.py
+++ b/libs/gateway/vanillayoke/gateway/catalog.py
@@ -74,8 +74,8 @@
 
     def is_restart(self, target: messages.Target) -> bool:
         """Return whether a row is of a new process of a known target."""
-        known = self._targets.get(target.name)
-        return known is not None and known.started != target.started
+        current = self._targets.get(target.name)
+        return current is not None and current.started != target.started
 
     def mark_target_missing(
         self, name: str, version: int, deadline: float | None
--- a/libs/gateway/vanillayoke/gateway/health_gossip.py
+++ b/libs/gateway/vanillayoke/gateway/health_gossip.py
@@ -19,14 +19,14 @@
     def __init__(
         self,
         instance: str,
-        verdicts: shared_health_module.SharedHealth,
+        shared_health: shared_health_module.SharedHealth,
         list_eligible: rendezvous.ListPeers,
         timer_service: timers.TimerService,
         rng: random.Random,
         instrumentation: instrumentation_module.Instrumentation,
     ) -> None:
         self._instance = instance
-        self._verdicts = verdicts
+        self._shared_health = shared_health
         self._list_eligible = list_eligible
         self._timers = timer_service
         self._rng = rng
@@ -52,11 +52,14 @@
         It is logged only if it changes whether the target counts as unhealthy.
         """
         count = self.count_instances()
-        was_unhealthy = self._verdicts.is_unhealthy(state.target, count)
-        merged = self._verdicts.merge(state, self._timers.now(), count)
+        was_unhealthy = self._shared_health.is_unhealthy(state.target, count)
+        merged = self._shared_health.merge(state, self._timers.now(), count)
         if merged is None:
             return
-        if self._verdicts.is_unhealthy(state.target, count) != was_unhealthy:
+        if (
+            self._shared_health.is_unhealthy(state.target, count)
+            != was_unhealthy
+        ):
             self._instrumentation.record_health_state(merged)
         self._spread(merged)
 
--- a/libs/gateway/vanillayoke/gateway/load_queries.py
+++ b/libs/gateway/vanillayoke/gateway/load_queries.py
@@ -33,7 +33,7 @@
         self._instance = instance
         self._list_eligible = list_eligible
         self._timers = timer_service
-        self._tallies = load_counts.LoadCounts()
+        self._load_counts = load_counts.LoadCounts()
         self._peers: peers_module.Peers | None = None
         self._eligible: typing.Sequence[rendezvous.Peer] = ()
         # Coordinators' addresses by target, None for this instance.
@@ -44,18 +44,20 @@
         self._peers = peers
 
     async def query(
-        self, places: typing.Iterable[occupancy.Candidate]
+        self, candidates: typing.Iterable[occupancy.Candidate]
     ) -> dict[str, load_counts.Load]:
         """Return the loads of targets whose coordinators respond in time."""
         loads: dict[str, load_counts.Load] = {}
         queries = []
-        for place in places:
-            address = self._find_coordinator(place.name, place.zone)
+        for candidate in candidates:
+            address = self._find_coordinator(candidate.name, candidate.zone)
             if address is None:
                 now = self._timers.now()
-                loads[place.name] = self._tallies.get_load(place.name, now)
+                loads[candidate.name] = self._load_counts.get_load(
+                    candidate.name, now
+                )
             else:
-                queries.append(self._query(address, place.name, loads))
+                queries.append(self._query(address, candidate.name, loads))
         if queries:
             await asyncio.gather(*queries)
         return loads
@@ -101,11 +103,13 @@
         now = self._timers.now()
         match notification:
             case peer_messages.RequestStarted(target, request, max_duration):
-                self._tallies.begin(target, request, now + max_duration, now)
+                self._load_counts.begin(
+                    target, request, now + max_duration, now
+                )
             case peer_messages.RequestEnded(
                 target, request, reported_count, latency_ratio
             ):
-                self._tallies.end(
+                self._load_counts.end(
                     target, request, reported_count, latency_ratio, now
                 )
 
@@ -113,17 +117,17 @@
         self, request: peer_messages.LoadQuery
     ) -> peer_messages.LoadResponse:
         """Return the load for a query of another instance."""
-        load = self._tallies.get_load(request.target, self._timers.now())
+        load = self._load_counts.get_load(request.target, self._timers.now())
         return peer_messages.LoadResponse(load.requests, load.latency_ratio)
 
     def retain(self, targets: typing.Container[str]) -> None:
         """Drop what is known of targets other than these."""
-        self._tallies.retain(targets)
+        self._load_counts.retain(targets)
         self._coordinators.clear()
 
     def handle_restart(self, target: str) -> None:
         """Drop the requests of a target that has restarted."""
-        self._tallies.reset(target)
+        self._load_counts.reset(target)
 
     def _notify_coordinator(
         self, target: messages.Target, notification: peer_messages.Notification
--- a/libs/gateway/vanillayoke/gateway/store.py
+++ b/libs/gateway/vanillayoke/gateway/store.py
@@ -15,7 +15,7 @@
 _TOO_MANY_REQUESTS = 429
 _REFUSALS = frozenset((_TOO_MANY_REQUESTS, 503))
 _GONE = 410
-# Connecting takes one round trip; packet loss shows soon.
+# Connecting takes one round trip; after packet loss it is tried again.
 CONNECT_TIMEOUT_SECONDS = 1.0
 # Statuses of a relay for a call that it could not forward, and for one whose
 # outcome it does not know.
