--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -4,14 +4,16 @@
 The budget here is less than two turns, so that any lost tokens show.
 """
 
+import asyncio
+
+import msgspec
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import peers
 from vanillayoke.gateway import store as store_client
 from vanillayoke.testing import fixtures
-import asyncio
-import msgspec
 
 BUDGET = 175
 MAX_TOKENS = 100
