--- a/libs/cluster/vanillayoke/cluster/membership_table.py
+++ b/libs/cluster/vanillayoke/cluster/membership_table.py
@@ -9,7 +9,7 @@
 FAILED_RETENTION_SECONDS = 600.0
 LISTED_INCARNATION = 0
 
-_GONE = (messages.State.FAILED, messages.State.LEFT)
+_FAILED_OR_LEFT = (messages.State.FAILED, messages.State.LEFT)
 
 
 class Entry:
@@ -86,7 +86,7 @@
         return [
             member
             for member in self.list_members()
-            if member.state not in _GONE
+            if member.state not in _FAILED_OR_LEFT
         ]
 
     def merge(self, update: messages.Member, now: float) -> Change | None:
@@ -105,7 +105,7 @@
         return Change(before, update)
 
     def _adjust_counts(self, entry: Entry, change: int) -> None:
-        if entry.member.state not in _GONE:
+        if entry.member.state not in _FAILED_OR_LEFT:
             self.live += change
             self.confirmed += change if entry.is_confirmed else 0
 
--- a/libs/gateway/vanillayoke/gateway/directory.py
+++ b/libs/gateway/vanillayoke/gateway/directory.py
@@ -4,7 +4,7 @@
 
 from vanillayoke.cluster import messages as cluster_messages
 
-# The limit of callers.
+# Callers accept no more addresses.
 MAX_ADDRESSES = 64
 # With fewer local addresses those of other zones are added. Traffic between
 # zones costs, and after a failure at least two should be left.
--- a/libs/gateway/vanillayoke/gateway/peer_messages.py
+++ b/libs/gateway/vanillayoke/gateway/peer_messages.py
@@ -1,6 +1,6 @@
 """Datagram messages between instances: requests, responses, notifications.
 
-Structs are encoded as arrays with a tag, so only the order of fields matters.
+Structs are encoded as arrays, so the order of fields is part of the protocol.
 """
 
 import msgspec
