--- a/libs/cli/vanillayoke/cli/access.py
+++ b/libs/cli/vanillayoke/cli/access.py
@@ -10,7 +10,7 @@
 
 from vanillayoke.cli import commands
 from vanillayoke.cli import operators
-from vanillayoke.settings import ranges
+from vanillayoke.settings import value_checks
 
 ENTRY_VARIABLE = 'VANILLAYOKE_ENTRY'
 KEY_VARIABLE = 'VANILLAYOKE_OPERATOR_KEY'
@@ -79,7 +79,7 @@
     if not entries:
         return _BadAccess(f'Give --entry=IP:PORT or set {ENTRY_VARIABLE}.')
     for entry in entries:
-        problem = ranges.find_address_problem(entry)
+        problem = value_checks.find_address_problem(entry)
         if problem:
             return _BadAccess(f'--entry: {problem}')
     key = _read_key(invocation)
--- a/libs/cli/vanillayoke/cli/management/commands/show.py
+++ b/libs/cli/vanillayoke/cli/management/commands/show.py
@@ -55,7 +55,7 @@
         faults.format_path(origin.path): _format_place(origin)
         for origin in found
     }
-    merged = sources.make_plain(tree)
+    merged = sources.to_builtins(tree)
     shown = {'settings': merged, 'origins': places}
     invocation.print(json.dumps(shown, ensure_ascii=False, indent=2))
 
--- a/libs/cli/vanillayoke/cli/stores.py
+++ b/libs/cli/vanillayoke/cli/stores.py
@@ -14,7 +14,7 @@
 from vanillayoke.platform import links
 from vanillayoke.platform import publishing
 from vanillayoke.platform import retrying
-from vanillayoke.settings import processes
+from vanillayoke.settings import process_checks
 
 CALLER = 'operator'
 LONGEST_REQUEST = 3.0
@@ -107,7 +107,7 @@
         urls[name] = url or invocation.environ.get(variable, '')
         if not urls[name]:
             return _BadStores(f'Give --{name}=URL or set {variable}.')
-        problem = processes.find_url_problem(urls[name])
+        problem = process_checks.find_url_problem(urls[name])
         if problem:
             return _BadStores(f'--{name}: {problem}')
     return Stores(**urls, timeout=invocation.flags.store_timeout)
--- a/libs/settings/vanillayoke/settings/checks.py
+++ b/libs/settings/vanillayoke/settings/checks.py
@@ -1,8 +1,8 @@
-"""The registry of checks that look at well-typed settings.
+"""The registry of checks on well-typed settings.
 
-A check is a function that gives findings. It is registered with a rule for
-the folder or for the process settings; ``run_checks`` runs them all and
-finds the place of each finding in the files.
+A check is a function that yields findings. It is registered with a scope and
+a rule; ``run_checks`` runs all checks of a scope and locates each finding in
+the files.
 """
 
 import enum
@@ -14,10 +14,11 @@
 
 
 class Scope(enum.Enum):
-    """Which settings a check looks at.
+    """The settings that a check covers.
 
-    ``VALUES`` checks look at one value of the folder at a time, ``FOLDER``
-    ones across entries, so that they need all files.
+    ``VALUES`` checks look at single values of the folder, ``FOLDER`` checks
+    compare entries and need all files, and ``PROCESS`` checks cover a process
+    settings file.
     """
 
     VALUES = 'values'
@@ -26,7 +27,7 @@
 
 
 class Finding(typing.NamedTuple):
-    """What a check found wrong at a path."""
+    """A problem that a check found at a path."""
 
     path: faults.Path
     text: str
@@ -73,7 +74,7 @@
 
 
 def list_rules() -> list[faults.Rule]:
-    """Return the rules of all faults that settings files can have."""
+    """Return all rules, sorted by id."""
     rules = [*faults.FILE_RULES.values()]
     rules += [check.rule for check in _CHECKS.values()]
     return sorted(rules)
@@ -96,10 +97,10 @@
 
 
 def find_place(tree: sources.MapNode, path: faults.Path) -> faults.Place:
-    """Return where a path's value stands.
+    """Return the place of a path's value.
 
-    For a map it is the place of its key, for an absent value that of the
-    nearest map or list around it.
+    For a map this is the place of its key; for an absent value, the place of
+    the innermost existing map or list on its path.
     """
     node: sources.Node = tree
     place = tree.place
--- a/libs/settings/vanillayoke/settings/configuration.py
+++ b/libs/settings/vanillayoke/settings/configuration.py
@@ -1,6 +1,6 @@
 """The configuration that operators publish: agents, tools, targets, ...
 
-It is the same on all instances; one version of it is in force at a time.
+All instances share it; one version is in force at a time.
 """
 
 import typing
@@ -21,7 +21,7 @@
     """A tool that agents may call on a service target.
 
     ``service`` names the service group of targets that run it; ``timeout``
-    is in seconds; ``idempotent`` must be said, since it decides whether a
+    is in seconds; ``idempotent`` is required, since it decides whether a
     call may be repeated. ``reserved_money`` is in millionths.
     """
 
@@ -37,7 +37,7 @@
 class BudgetSettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """Most that one program may use; ``money`` in millionths."""
+    """Limits on what one program may use; ``money`` in millionths."""
 
     tokens: int = 1_000_000
     calls: int = 500
@@ -66,10 +66,10 @@
     """A back end; ``kind`` is ``engine`` or ``service``.
 
     ``group`` is the service group of a service. ``fencing`` is ``checks``
-    where the target refuses an old epoch, else ``ignores``. ``query`` tells
-    whether the service can say what became of a call. ``cache_tokens`` and
-    ``slots`` bound an engine's cache and batch, ``slots`` a service's
-    concurrent calls.
+    if the target rejects orders with an old epoch, otherwise ``ignores``.
+    ``query`` tells whether the service can report the outcome of a call.
+    ``cache_tokens`` is the capacity of an engine's prefix cache. ``slots``
+    limits an engine's batch or a service's concurrent calls.
     """
 
     kind: str
@@ -90,7 +90,7 @@
     """A customer: its keys (SHA-256, hex), share and limits.
 
     ``weight`` is its share of capacity; ``calls_per_second`` and
-    ``running_programs`` hold over all instances together.
+    ``running_programs`` apply to all instances together.
     """
 
     key_hashes: tuple[str, ...]
@@ -103,7 +103,7 @@
 class ModelSettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """A model: the version in force and how many copies it must have."""
+    """A model: the version in force and the number of loaded copies."""
 
     version: str = '1'
     minimum_copies: int = 1
@@ -114,7 +114,7 @@
 class PolicySettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """Names of the scheduling policies in force and their numbers."""
+    """Names of the scheduling policies in force and their parameters."""
 
     placement: str = 'expected_completion'
     order: str = 'attained_service'
@@ -149,10 +149,10 @@
 class PublishedConfiguration(
     msgspec.Struct, frozen=True, kw_only=True, tag='configuration'
 ):
-    """A configuration with its version, as it stands in the table.
+    """A configuration with its version, as stored in the table.
 
-    ``version`` only grows, by one with each accepted change. ``changes``
-    holds the last few changes, this one at the end.
+    Each accepted change increments ``version`` by one. ``changes`` holds the
+    most recent changes, ending with the one that made this version.
     """
 
     version: int
@@ -164,7 +164,7 @@
 class PublishedPointer(
     msgspec.Struct, frozen=True, kw_only=True, tag='pointer'
 ):
-    """Stands in the table for a large configuration.
+    """A table row that refers to a large configuration.
 
     ``key`` names the object that holds the ``PublishedConfiguration``.
     """
@@ -179,15 +179,15 @@
 
 
 def encode_published(published: Published) -> bytes:
-    """Encode for the table, for the object store and for peers."""
+    """Encode for the table, the object store and other instances."""
     return msgspec.msgpack.encode(published)
 
 
 def decode_published(blob: bytes) -> PublishedConfiguration:
-    """Decode; raises ``msgspec.DecodeError`` on damage."""
+    """Decode a configuration; raises ``msgspec.DecodeError`` if malformed."""
     return msgspec.msgpack.decode(blob, type=PublishedConfiguration)
 
 
 def decode_row(blob: bytes) -> Published:
-    """Decode a table row; raises ``msgspec.DecodeError`` on damage."""
+    """Decode a table row; raises ``msgspec.DecodeError`` if malformed."""
     return msgspec.msgpack.decode(blob, type=Published)
--- a/libs/settings/vanillayoke/settings/decoding.py
+++ b/libs/settings/vanillayoke/settings/decoding.py
@@ -1,8 +1,9 @@
-"""Turn a tree into typed settings and find every type fault at once.
+"""Decode a tree into typed settings and report all type faults at once.
 
-msgspec converts each value by itself, so one wrong value hides no other.
-Values that are right are also gathered by pattern, so that checks can look
-at them although an entry is broken elsewhere.
+Each value is converted by a separate msgspec call, so that an invalid value
+does not hide faults in others. Valid values are also collected by pattern, so
+that checks can run on them even if other values of the same entry are
+invalid.
 """
 
 import difflib
@@ -13,8 +14,8 @@
 from vanillayoke.settings import faults
 from vanillayoke.settings import sources
 
-EACH_KEY = '*'
-EACH_ITEM = '#'
+ANY_KEY = '*'
+ANY_INDEX = '#'
 
 
 class Values:
@@ -28,33 +29,33 @@
         self._values: dict[str, dict[faults.Path, typing.Any]] = {}
         self._names: dict[str, list[str]] = {}
 
-    def note_value(
+    def add_value(
         self, pattern: str, path: faults.Path, value: typing.Any
     ) -> None:
-        """Add a value that is in force."""
+        """Add a valid value, given or default."""
         self._values.setdefault(pattern, {})[path] = value
 
-    def note_name(self, section: str, name: str) -> None:
-        """Add a key of a section, whether or not its value is right."""
+    def add_name(self, section: str, name: str) -> None:
+        """Add a key of a section, whether or not its value is valid."""
         self._names.setdefault(section, []).append(name)
 
     def select(
         self, pattern: str
     ) -> typing.Iterable[tuple[faults.Path, typing.Any]]:
-        """Return paths and values that fit a pattern."""
+        """Return the paths and values added under a pattern."""
         return self._values.get(pattern, {}).items()
 
     def find(self, pattern: str, path: faults.Path) -> typing.Any:
-        """Return one value, ``None`` where it is absent or not right."""
+        """Return one value, or ``None`` if it is absent or invalid."""
         return self._values.get(pattern, {}).get(path)
 
     def list_names(self, section: str) -> list[str]:
-        """Return all keys of a section, right or not."""
+        """Return all keys of a section, including those of invalid values."""
         return self._names.get(section, [])
 
 
 class Decoded(typing.NamedTuple):
-    """Typed settings, ``None`` where any value is wrong or missing."""
+    """Typed settings, ``None`` if any value is invalid or missing."""
 
     settings: typing.Any
     faults: tuple[faults.Fault, ...]
@@ -66,22 +67,22 @@
 ) -> Decoded:
     """Decode a tree as a struct.
 
-    With ``complete`` false nothing is said of missing fields, because they
-    may stand in a file that could not be read.
+    If ``complete`` is false, missing fields are not reported, because they
+    may be in a file that could not be read.
     """
     decoder = _Decoder(complete)
     settings = decoder.decode_struct(tree, kind, (), '')
-    broken = settings is _WRONG
+    broken = settings is _INVALID
     return Decoded(
         None if broken else settings, tuple(decoder.faults), decoder.values
     )
 
 
-class _Wrong:
-    """The value of whatever could not be decoded."""
+class _Invalid:
+    """The type of the marker for values that could not be decoded."""
 
 
-_WRONG = _Wrong()
+_INVALID = _Invalid()
 
 
 class _Decoder:
@@ -98,7 +99,7 @@
         pattern: str,
     ) -> typing.Any:
         fields = {field.name: field for field in msgspec.structs.fields(kind)}
-        self._note_unknown(node, list(fields), path)
+        self._report_unknown(node, list(fields), path)
         given = {
             name: self._decode(
                 node.entries[name].node,
@@ -114,28 +115,28 @@
             for name, field in fields.items()
             if field.required and name not in node.entries
         ]
-        self._note_missing(node, missing, path)
+        self._report_missing(node, missing, path)
         unknown = node.entries.keys() - fields.keys()
-        if missing or unknown or _WRONG in given.values():
-            return _WRONG
+        if missing or unknown or _INVALID in given.values():
+            return _INVALID
         decoded = kind(**given)
-        self._note_defaults(decoded, given, path, pattern)
-        self.values.note_value(pattern, path, decoded)
+        self._add_defaults(decoded, given, path, pattern)
+        self.values.add_value(pattern, path, decoded)
         return decoded
 
-    def _note_defaults(
+    def _add_defaults(
         self,
         decoded: msgspec.Struct,
         given: dict[str, typing.Any],
         path: faults.Path,
         pattern: str,
     ) -> None:
-        """Note absent structs, so that checks see the numbers in force."""
+        """Add the defaults of absent structs, so that checks cover them."""
         for name in decoded.__struct_fields__:
             value = getattr(decoded, name)
             if name not in given and isinstance(value, msgspec.Struct):
-                where = _extend(pattern, name)
-                self.values.note_value(where, (*path, name), value)
+                default_pattern = _extend(pattern, name)
+                self.values.add_value(default_pattern, (*path, name), value)
 
     def _decode(
         self,
@@ -146,7 +147,7 @@
     ) -> typing.Any:
         if _is_struct(kind):
             if not isinstance(node, sources.MapNode):
-                return self._refuse(node, path, 'Expected a map.')
+                return self._reject(node, path, 'Expected a map.')
             return self.decode_struct(node, kind, path, pattern)
         match typing.get_origin(kind), typing.get_args(kind):
             case origin, (_, value) if origin is dict and _is_struct(value):
@@ -163,14 +164,14 @@
         pattern: str,
     ) -> typing.Any:
         if not isinstance(node, sources.MapNode):
-            return self._refuse(node, path, 'Expected a map.')
+            return self._reject(node, path, 'Expected a map.')
         decoded = {}
         for key, entry in node.entries.items():
-            self.values.note_name(pattern, key)
+            self.values.add_name(pattern, key)
             decoded[key] = self._decode(
-                entry.node, kind, (*path, key), _extend(pattern, EACH_KEY)
+                entry.node, kind, (*path, key), _extend(pattern, ANY_KEY)
             )
-        return _WRONG if _WRONG in decoded.values() else decoded
+        return _INVALID if _INVALID in decoded.values() else decoded
 
     def _decode_list(
         self,
@@ -180,14 +181,14 @@
         pattern: str,
     ) -> typing.Any:
         if not isinstance(node, sources.ListNode):
-            return self._refuse(node, path, 'Expected a list.')
+            return self._reject(node, path, 'Expected a list.')
         decoded = tuple(
-            self._decode(item, kind, (*path, i), _extend(pattern, EACH_ITEM))
+            self._decode(item, kind, (*path, i), _extend(pattern, ANY_INDEX))
             for i, item in enumerate(node.items)
         )
-        if _WRONG in decoded:
-            return _WRONG
-        self.values.note_value(pattern, path, decoded)
+        if _INVALID in decoded:
+            return _INVALID
+        self.values.add_value(pattern, path, decoded)
         return decoded
 
     def _decode_leaf(
@@ -198,44 +199,44 @@
         pattern: str,
     ) -> typing.Any:
         try:
-            value = msgspec.convert(sources.make_plain(node), kind)
+            value = msgspec.convert(sources.to_builtins(node), kind)
         except msgspec.ValidationError as error:
-            return self._refuse(node, path, f'{error}.')
-        self.values.note_value(pattern, path, value)
+            return self._reject(node, path, f'{error}.')
+        self.values.add_value(pattern, path, value)
         return value
 
-    def _refuse(
+    def _reject(
         self, node: sources.Node, path: faults.Path, text: str
-    ) -> _Wrong:
-        self._note('E010', node.place, path, text)
-        return _WRONG
+    ) -> _Invalid:
+        self._add_fault('E010', node.place, path, text)
+        return _INVALID
 
-    def _note_unknown(
-        self, node: sources.MapNode, known: list[str], path: faults.Path
+    def _report_unknown(
+        self, node: sources.MapNode, known_fields: list[str], path: faults.Path
     ) -> None:
         for key, entry in node.entries.items():
-            if key in known:
+            if key in known_fields:
                 continue
-            close = difflib.get_close_matches(key, known, n=1)
-            text = 'This field is not known.'
-            if close:
-                text += f' Did you mean {close[0]}?'
-            self._note('E011', entry.place, (*path, key), text)
+            matches = difflib.get_close_matches(key, known_fields, n=1)
+            text = 'Unknown field.'
+            if matches:
+                text += f' Did you mean {matches[0]}?'
+            self._add_fault('E011', entry.place, (*path, key), text)
 
-    def _note_missing(
+    def _report_missing(
         self, node: sources.MapNode, missing: list[str], path: faults.Path
     ) -> None:
         if not self._complete:
             return
         for name in missing:
             removal = node.removed.get(name)
-            text = 'The field must be given.'
+            text = 'The field is required.'
             if removal is not None:
-                text = 'The field must be given, and is removed here.'
+                text = 'The field is required but is removed here.'
             place = removal or node.place
-            self._note('E012', place, (*path, name), text)
+            self._add_fault('E012', place, (*path, name), text)
 
-    def _note(
+    def _add_fault(
         self, number: str, place: faults.Place, path: faults.Path, text: str
     ) -> None:
         rule = faults.FILE_RULES[f'settings.{number}']
--- a/libs/settings/vanillayoke/settings/descriptions.py
+++ b/libs/settings/vanillayoke/settings/descriptions.py
@@ -1,4 +1,4 @@
-"""What each field of the settings means, for the schema and the docs."""
+"""Descriptions of all settings fields, for the schemas and the docs."""
 
 from vanillayoke.settings import configuration
 from vanillayoke.settings import process
@@ -13,15 +13,15 @@
         'policy': 'How calls are scheduled.',
     },
     configuration.AgentSettings: {
-        'model': 'The model that the agent thinks with.',
+        'model': 'The model that the agent uses.',
         'instructions': 'The system message of its conversations.',
         'tools': 'Tools that it may call.',
         'children': 'Agents that it may start as sub-agents.',
-        'max_tokens': 'Most tokens of one answer.',
+        'max_tokens': 'Maximum number of tokens of one answer.',
         'call_timeout': 'Seconds for one model call.',
-        'progress_timeout': 'Seconds of silence after which a model call '
+        'progress_timeout': 'Seconds without output after which a model call '
         'counts as hung.',
-        'budget': 'Most that one program of this agent may use.',
+        'budget': 'Limits on what one program of this agent may use.',
     },
     configuration.BudgetSettings: {
         'tokens': 'Prompt and answer tokens of all model calls.',
@@ -35,18 +35,18 @@
         'idempotent': 'Whether a call may be repeated. Where false, a call '
         'is sent at most once.',
         'timeout': 'Seconds for one call.',
-        'description': 'What the model is told about the tool.',
+        'description': 'Description of the tool, given to the model.',
         'parameters': 'JSON Schema of its arguments, given to the model.',
         'reserved_money': 'Millionths reserved from the budget for a call.',
     },
     configuration.TargetSettings: {
-        'kind': 'What it is.',
+        'kind': 'Engine or service.',
         'address': 'IP:PORT.',
         'zone': 'Its availability zone.',
         'region': 'The region of the zone.',
         'group': 'The service group; services only.',
         'fencing': 'Whether it refuses orders of an old epoch.',
-        'query': 'Whether the service can say what became of a call.',
+        'query': 'Whether the service can report the outcome of a call.',
         'signed_orders': 'Whether it verifies the signature of orders.',
         'cache_tokens': 'Prefix cache of an engine, in tokens.',
         'slots': 'Calls that it runs at the same time.',
@@ -56,8 +56,9 @@
         'of keys.',
         'agents': 'Agents that it may use; empty for all.',
         'weight': 'Its share of capacity, relative to other clients.',
-        'calls_per_second': 'Most calls a second over all instances.',
-        'running_programs': 'Most open programs over all instances.',
+        'calls_per_second': 'Maximum calls per second over all instances.',
+        'running_programs': 'Maximum number of open programs over all '
+        'instances.',
     },
     configuration.ModelSettings: {
         'version': 'The version in force.',
@@ -69,16 +70,16 @@
         'placement': 'How a target is chosen.',
         'order': 'Which waiting call runs first.',
         'admission': 'When a program may start.',
-        'cache_lifetime': 'What becomes of cache in a pause.',
+        'cache_lifetime': 'What happens to cached prefixes during tool calls.',
         'urgent_reserve': 'Fraction of slots that only urgent calls use.',
-        'retry_fraction': 'Retries for each call, on average at most.',
+        'retry_fraction': 'Maximum average number of retries per call.',
         'repeated_steps': 'Repeats of a step after which a program is '
         'stopped as a runaway.',
     },
 }
 _PROCESS: dict[type, dict[str, str]] = {
     process.ProcessSettings: {
-        'instance': 'Who this process is.',
+        'instance': 'Name, location and addresses of the instance.',
         'platform': "Where the platform's services are.",
         'lease': 'Times of the lease by which it owns programs.',
         'store': "Use of the platform's store.",
@@ -106,20 +107,21 @@
     },
     process.LeaseSettings: {
         'time_to_live': 'Seconds that a lease holds without renewal.',
-        'margin': 'Seconds that a taker adds and the holder takes off.',
+        'margin': 'Seconds before the expiry at which the holder stops '
+        'acting, and after it at which others take over.',
     },
     process.StoreSettings: {
         'writes_per_second': 'Writes a second of all instances together.',
         'shortest_commit_interval': 'Seconds between two commits at least.',
         'retention': 'Seconds for which an ended program can be read.',
-        'unavailable': 'What becomes of calls that are not idempotent while '
-        'the store is down.',
+        'unavailable': 'What happens to calls that are not idempotent while '
+        'the store is unavailable.',
     },
     process.ProbeSettings: {
         'interval': 'Seconds between two probes.',
         'timeout': 'Seconds until a probe counts as unanswered.',
         'suspicion': 'Seconds that a suspected instance has to answer.',
-        'indirect': 'Instances asked to probe in its place.',
+        'indirect': 'Number of instances asked to probe indirectly.',
     },
     process.SigningSettings: {
         'key_id': 'Name of the key; empty signs no orders.',
@@ -127,10 +129,10 @@
     },
     process.EntrySettings: {
         'largest_body': 'Bytes of a request body at most.',
-        'address_lifetime': 'Seconds that callers may keep addresses.',
+        'address_lifetime': 'Seconds for which callers may cache addresses.',
         'body_timeout': 'Seconds for a request body to arrive.',
         'slow_reader_timeout': 'Seconds after which a caller that does not '
-        'read is cut off.',
+        'read is disconnected.',
         'drain_grace': 'Seconds for streams to end when stopping.',
     },
 }
--- a/libs/settings/vanillayoke/settings/differences.py
+++ b/libs/settings/vanillayoke/settings/differences.py
@@ -1,4 +1,4 @@
-"""Differences between two configurations, readable for operators."""
+"""Differences between two configurations, formatted for operators."""
 
 import json
 import typing
@@ -8,11 +8,11 @@
 from vanillayoke.settings import configuration
 from vanillayoke.settings import faults
 
-LONGEST_VALUE = 72
+MAX_VALUE_LENGTH = 72
 
 
 class Difference(typing.NamedTuple):
-    """One value that differs; ``UNSET`` stands for absent."""
+    """One value that differs; ``UNSET`` if absent on that side."""
 
     path: faults.Path
     old: typing.Any
@@ -22,10 +22,10 @@
 def compare(
     old: configuration.Configuration, new: configuration.Configuration
 ) -> list[Difference]:
-    """Return what differs, in the order of the paths.
+    """Return the differences in the order of their paths.
 
-    An entry that only one side has is one difference; of entries on both
-    sides each field is one.
+    An entry that only one side has counts as one difference; entries on both
+    sides are compared field by field.
     """
     found: list[Difference] = []
     _compare(msgspec.to_builtins(old), msgspec.to_builtins(new), (), found)
@@ -63,17 +63,17 @@
 
 
 def format_value(value: typing.Any) -> str:
-    """Return a value as JSON text, shortened where it is long."""
+    """Return a value as JSON text, truncated if it is long."""
     text = json.dumps(value, ensure_ascii=False)
-    if len(text) <= LONGEST_VALUE:
+    if len(text) <= MAX_VALUE_LENGTH:
         return text
-    return f'{text[:LONGEST_VALUE]}... ({len(text)} characters)'
+    return f'{text[:MAX_VALUE_LENGTH]}... ({len(text)} characters)'
 
 
 def dump_differences(
     found: typing.Iterable[Difference],
 ) -> list[dict[str, typing.Any]]:
-    """Return differences ready for JSON; an absent side is left out."""
+    """Return differences as JSON objects; absent sides are omitted."""
     return [
         {
             name: value
--- a/libs/settings/vanillayoke/settings/faults.py
+++ b/libs/settings/vanillayoke/settings/faults.py
@@ -1,4 +1,4 @@
-"""Faults in settings files: where they are, what is wrong, what helps."""
+"""Faults in settings files: their places, rules, texts and hints."""
 
 import json
 import re
@@ -24,10 +24,9 @@
 
 
 class Rule(typing.NamedTuple):
-    """What one check looks for; ``id`` is ``settings.E...`` or ``W...``.
+    """A kind of fault; ``id`` is ``settings.E...`` or ``settings.W...``.
 
-    Faults with an ``E`` make the settings unusable, ``W`` ones are
-    warnings.
+    ``E`` faults make the settings unusable, ``W`` ones are warnings.
     """
 
     id: str
@@ -38,8 +37,8 @@
 class Fault(typing.NamedTuple):
     """One fault at one place.
 
-    ``path`` leads from the top of the settings to the value, empty where
-    the fault concerns a file or the whole.
+    ``path`` leads from the top of the settings to the value. It is empty if
+    the fault concerns a whole file or folder.
     """
 
     rule: Rule
@@ -49,11 +48,11 @@
 
     @property
     def is_warning(self) -> bool:
-        """Tell whether the settings may be used in spite of it."""
+        """Tell whether the settings are usable despite the fault."""
         return self.rule.id.startswith('settings.W')
 
     def describe(self) -> str:
-        """Return the fault as one line for people."""
+        """Return the fault as one line of text."""
         where = f' at {format_path(self.path)}' if self.path else ''
         return (
             f'{self.place}: {self.rule.id}{where}: {self.text} '
@@ -74,7 +73,7 @@
 
 
 def has_errors(faults: typing.Iterable[Fault]) -> bool:
-    """Tell whether any fault is more than a warning."""
+    """Tell whether any fault is an error."""
     return any(not fault.is_warning for fault in faults)
 
 
@@ -125,9 +124,9 @@
         ),
         Rule(
             'settings.E009',
-            'A removal names something that is not there.',
-            'Delete the line with null, or correct its name; only an earlier '
-            'file can give what it removes.',
+            'A null removes a key that does not exist.',
+            'Delete the null, or correct its key; it can only remove what an '
+            'earlier file sets.',
         ),
         Rule(
             'settings.E010',
--- a/libs/settings/vanillayoke/settings/folder.py
+++ b/libs/settings/vanillayoke/settings/folder.py
@@ -1,7 +1,7 @@
-"""The settings folder: which files count and how they merge.
+"""Read the files of a settings folder and merge them.
 
-Files merge in the order of their names. Maps merge by key, a later value
-replaces an earlier one, lists are replaced whole, and ``null`` removes.
+Files merge in the order of their names. Maps merge by key; a later scalar or
+list replaces an earlier one; ``null`` removes the key.
 """
 
 import os
@@ -12,17 +12,17 @@
 from vanillayoke.settings import faults
 from vanillayoke.settings import sources
 
-ENDINGS = ('.json', '.jsonc')
-IGNORED_ENDINGS = ('~', '.bak', '.orig', '.rej', '.swp', '.tmp', '.md')
-LARGEST_FILE = 4 * 1024 * 1024
+SUFFIXES = ('.json', '.jsonc')
+IGNORED_SUFFIXES = ('~', '.bak', '.orig', '.rej', '.swp', '.tmp', '.md')
+MAX_FILE_BYTES = 4 * 1024 * 1024
 SCHEMA_KEY = '$schema'
 
 
 class MergedFolder(typing.NamedTuple):
     """The merged tree of all files that could be read.
 
-    ``complete`` is false where some file could not be read, so that what
-    is absent from the tree may well stand in that file.
+    ``complete`` is false if any file could not be read; what is absent from
+    the tree may then be in that file.
     """
 
     tree: sources.MapNode
@@ -55,32 +55,35 @@
     try:
         blob = _read_regular(file)
     except OSError as error:
-        return _refuse_file('E001', whole, f'{error.strerror}.')
+        return _reject_file('E001', whole, f'{error.strerror}.')
     if blob is None:
-        return _refuse_file('E008', whole, 'It is no regular file.')
-    if len(blob) > LARGEST_FILE:
-        text = f'The file has more than {LARGEST_FILE} bytes.'
-        return _refuse_file('E014', whole, text)
+        return _reject_file('E008', whole, 'Not a regular file.')
+    if len(blob) > MAX_FILE_BYTES:
+        text = f'The file has more than {MAX_FILE_BYTES} bytes.'
+        return _reject_file('E014', whole, text)
     return _decode_blob(blob, whole)
 
 
 def _read_regular(file: pathlib.Path) -> bytes | None:
-    """Return what a file begins with; ``None`` if it is not a file."""
-    # Without O_NONBLOCK opening a named pipe waits for a writer, for ever:
-    # a check or a start would hang without a word. The kind of file is
-    # asked of what was opened, so that it cannot be exchanged in between.
+    """Return a file's content; ``None`` if it is not a regular file.
+
+    At most one byte more than ``MAX_FILE_BYTES`` is read.
+    """
+    # Without O_NONBLOCK, opening a named pipe would block until a writer
+    # opens it. The type is checked on the open descriptor, so that the file
+    # cannot be replaced between the check and the read.
     descriptor = os.open(file, os.O_RDONLY | os.O_NONBLOCK)
     try:
         if not stat.S_ISREG(os.fstat(descriptor).st_mode):
             return None
         with open(descriptor, 'rb', closefd=False) as stream:
-            return stream.read(LARGEST_FILE + 1)
+            return stream.read(MAX_FILE_BYTES + 1)
     finally:
         os.close(descriptor)
 
 
 def drop_schema_key(tree: sources.MapNode) -> sources.MapNode:
-    """Return a file's tree without the key by which editors find a schema."""
+    """Return a file's tree without the ``$schema`` key used by editors."""
     entries = dict(tree.entries)
     entries.pop(SCHEMA_KEY, None)
     return tree._replace(entries=entries)
@@ -89,17 +92,19 @@
 def _decode_blob(blob: bytes, whole: faults.Place) -> sources.Source:
     if blob.startswith(b'\xef\xbb\xbf'):
         place = whole._replace(line=1, column=1)
-        return _refuse_file('E002', place, 'It begins with a mark.')
+        return _reject_file(
+            'E002', place, 'The file begins with a byte order mark.'
+        )
     try:
         text = blob.decode('utf-8')
     except UnicodeDecodeError as error:
-        before = blob[: error.start].decode('utf-8')
-        place = sources.find_end(whole.file, before)
-        return _refuse_file('E002', place, 'This byte is not UTF-8.')
+        valid_part = blob[: error.start].decode('utf-8')
+        place = sources.find_end(whole.file, valid_part)
+        return _reject_file('E002', place, 'Invalid UTF-8 byte.')
     return sources.parse_source(whole.file, text)
 
 
-def _refuse_file(
+def _reject_file(
     number: str, place: faults.Place, text: str
 ) -> sources.Source:
     rule = faults.FILE_RULES[f'settings.{number}']
@@ -112,8 +117,8 @@
     try:
         names = sorted(os.listdir(folder))
     except OSError as error:
-        refused = _refuse_file('E001', whole, f'{error.strerror}.')
-        return [], list(refused.faults)
+        rejected = _reject_file('E001', whole, f'{error.strerror}.')
+        return [], list(rejected.faults)
     files: list[pathlib.Path] = []
     found: list[faults.Fault] = []
     for name in names:
@@ -123,29 +128,31 @@
         if problem is None:
             files.append(folder / name)
             continue
-        shown = faults.Place(str(folder / ascii(name)[1:-1]), 0, 0)
-        found.extend(_refuse_file('E008', shown, problem).faults)
+        place = faults.Place(str(folder / ascii(name)[1:-1]), 0, 0)
+        found.extend(_reject_file('E008', place, problem).faults)
     if not files and not found:
-        refused = _refuse_file('E007', whole, 'There is no settings file.')
-        found.extend(refused.faults)
+        rejected = _reject_file(
+            'E007', whole, 'The folder contains no settings file.'
+        )
+        found.extend(rejected.faults)
     return files, found
 
 
 def _is_ignored(name: str) -> bool:
-    return name.startswith(('.', '#')) or name.endswith(IGNORED_ENDINGS)
+    return name.startswith(('.', '#')) or name.endswith(IGNORED_SUFFIXES)
 
 
 def _find_name_problem(name: str) -> str | None:
     if not name.isprintable():
-        # A line end in a name would break the line that names a fault.
-        return 'Its name has characters that cannot be shown.'
-    if not name.endswith(ENDINGS):
-        return 'Its name has another ending.'
+        # A line break in a name would split the one-line fault message.
+        return 'The file name has non-printable characters.'
+    if not name.endswith(SUFFIXES):
+        return 'The file name does not end in .json or .jsonc.'
     return None
 
 
 class _Merger:
-    """Adds one file after the other to a tree."""
+    """Merges files one after another into a tree."""
 
     def __init__(self, whole: faults.Place) -> None:
         self.tree = sources.MapNode(whole, {}, {})
@@ -187,7 +194,7 @@
             removed[key] = place
             return
         rule = faults.FILE_RULES['settings.E009']
-        text = 'There is nothing to remove.'
+        text = 'The key does not exist.'
         self.faults.append(faults.Fault(rule, place, (*path, key), text))
 
     def _merge_entry(
--- a/libs/settings/vanillayoke/settings/references.py
+++ b/libs/settings/vanillayoke/settings/folder_checks.py
@@ -1,4 +1,4 @@
-"""Checks across entries: names that point elsewhere, and conflicts."""
+"""Checks across entries: references by name, and conflicts."""
 
 import functools
 import typing
@@ -14,7 +14,7 @@
 def check_reference(
     pattern: str, section: str, values: decoding.Values
 ) -> typing.Iterator[checks.Finding]:
-    """Find values that name no entry of a section."""
+    """Find values that do not name an entry of a section."""
     known = frozenset(values.list_names(section))
     for path, name in values.select(pattern):
         if name.strip() and name not in known:
@@ -58,12 +58,12 @@
     ]
 
 
-def _know_all_kinds(values: decoding.Values) -> bool:
-    # A target whose kind is wrong has its own fault; checks that count
-    # targets would only repeat it in other words.
-    known = [kind for _, kind in values.select('targets.*.kind')]
-    return len(known) == len(values.list_names('targets')) and all(
-        kind in configuration.TARGET_KINDS for kind in known
+def _are_all_kinds_valid(values: decoding.Values) -> bool:
+    # An invalid kind is reported by its own check; checks that count targets
+    # would only report consequences of it.
+    valid_kinds = [kind for _, kind in values.select('targets.*.kind')]
+    return len(valid_kinds) == len(values.list_names('targets')) and all(
+        kind in configuration.TARGET_KINDS for kind in valid_kinds
     )
 
 
@@ -83,8 +83,8 @@
 def check_services(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find tools that nothing would run."""
-    if not _know_all_kinds(values):
+    """Find tools whose service group has no target."""
+    if not _are_all_kinds_valid(values):
         return
     groups = _list_groups(values)
     for path, group in values.select('tools.*.service'):
@@ -104,12 +104,12 @@
 ) -> typing.Iterator[checks.Finding]:
     """Find services without a group and engines with one."""
     for path, kind in values.select('targets.*.kind'):
-        where = ('targets', path[1], 'group')
-        group = values.find('targets.*.group', where)
+        field_path = ('targets', path[1], 'group')
+        group = values.find('targets.*.group', field_path)
         if kind == 'service' and not group:
-            yield checks.Finding(where, 'The service is in no group.')
+            yield checks.Finding(field_path, 'The service is in no group.')
         if kind == 'engine' and group:
-            yield checks.Finding(where, 'An engine has no group.')
+            yield checks.Finding(field_path, 'An engine has no group.')
 
 
 @checks.register(
@@ -121,31 +121,31 @@
 def check_unique_addresses(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find targets that would count one process's capacity twice."""
-    return _find_repeats(values, 'targets.*.address', 'address')
+    """Find targets that share an address, so that capacity counts twice."""
+    return _find_duplicates(values, 'targets.*.address', 'address')
 
 
 @checks.register(
     _FOLDER,
     'E209',
-    'Two clients, or one twice, have the same key hash.',
-    'Give each client a key of its own.',
+    'The same key hash is given twice.',
+    'Give each client its own keys, each of them once.',
 )
 def check_unique_keys(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find keys that do not tell one client from another."""
-    return _find_repeats(values, 'clients.*.key_hashes.#', 'key hash')
+    """Find key hashes that do not identify one client."""
+    return _find_duplicates(values, 'clients.*.key_hashes.#', 'key hash')
 
 
-def _find_repeats(
+def _find_duplicates(
     values: decoding.Values, pattern: str, noun: str
 ) -> typing.Iterator[checks.Finding]:
     first: dict[str, faults.Path] = {}
     for path, value in values.select(pattern):
         if value in first:
             owner = faults.format_path(first[value])
-            text = f'{owner} has this {noun} already.'
+            text = f'{owner} already has this {noun}.'
             yield checks.Finding(path, text)
         else:
             first[value] = path
@@ -154,13 +154,13 @@
 @checks.register(
     _FOLDER,
     'E210',
-    'A list names the same thing twice.',
+    'A list contains the same name twice.',
     'Keep one of the two.',
 )
 def check_repeated_items(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find lists of names with repeats."""
+    """Find lists that contain a name more than once."""
     for pattern in (
         'agents.*.tools',
         'agents.*.children',
@@ -170,7 +170,7 @@
         for path, names in values.select(pattern):
             for i, name in enumerate(names):
                 if name in names[:i]:
-                    text = f'"{name}" stands in the list already.'
+                    text = f'"{name}" is already in the list.'
                     yield checks.Finding((*path, i), text)
 
 
@@ -178,42 +178,42 @@
     _FOLDER,
     'E211',
     'Agents are their own sub-agents, directly or through others.',
-    'Break the circle: take one of its agents out of children.',
+    'Break the cycle: remove one of its agents from children.',
 )
 def check_cycles(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find circles of sub-agents, each reported once."""
+    """Find cycles of sub-agents and report each once."""
     children = {
         path[1]: names for path, names in values.select('agents.*.children')
     }
-    done: set[str] = set()
+    visited: set[str] = set()
     for name in children:
-        yield from _follow_children(children, name, done)
+        yield from _follow_children(children, name, visited)
 
 
 def _follow_children(
-    children: dict[str, tuple[str, ...]], start: str, done: set[str]
+    children: dict[str, tuple[str, ...]], start: str, visited: set[str]
 ) -> typing.Iterator[checks.Finding]:
-    # An explicit stack, because a long chain of agents in a broken folder
-    # would otherwise end in a RecursionError instead of a fault.
-    trail: list[str] = []
+    # An explicit stack, because recursion over a long chain of agents would
+    # raise a RecursionError.
+    ancestors: list[str] = []
     stack: list[tuple[str, int]] = [(start, 0)]
     while stack:
         name, i = stack.pop()
         if i == 0:
-            if name in done:
+            if name in visited:
                 continue
-            trail.append(name)
+            ancestors.append(name)
         names = children.get(name, ())
         if i == len(names):
-            done.add(trail.pop())
+            visited.add(ancestors.pop())
             continue
         stack.append((name, i + 1))
-        if names[i] in trail:
-            circle = [*trail[trail.index(names[i]) :], names[i]]
+        if names[i] in ancestors:
+            cycle = [*ancestors[ancestors.index(names[i]) :], names[i]]
             path = ('agents', name, 'children', i)
-            yield checks.Finding(path, f'{" -> ".join(circle)}.')
+            yield checks.Finding(path, f'{" -> ".join(cycle)}.')
         else:
             stack.append((names[i], 0))
 
@@ -227,8 +227,8 @@
 def check_copies(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find models that can never have their copies."""
-    if not _know_all_kinds(values):
+    """Find models that require more copies than there are engines."""
+    if not _are_all_kinds_valid(values):
         return
     engines = len(_list_targets(values, 'engine'))
     for path, copies in values.select('models.*.minimum_copies'):
@@ -246,7 +246,7 @@
 def check_pins(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find pins to services."""
+    """Find models that are pinned to services."""
     services = _list_targets(values, 'service')
     for path, name in values.select('models.*.pinned.#'):
         if name in services:
@@ -262,33 +262,33 @@
 def check_engines(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find folders whose agents could never run."""
-    if not _know_all_kinds(values):
+    """Find folders with agents but without an engine to run them."""
+    if not _are_all_kinds_valid(values):
         return
     if values.list_names('agents') and not _list_targets(values, 'engine'):
-        yield checks.Finding(('agents',), 'No target runs models.')
+        yield checks.Finding(('agents',), 'No target is of kind engine.')
 
 
 @checks.register(
     _FOLDER,
     'E215',
-    'An availability zone stands in two regions.',
+    'An availability zone is in two regions.',
     'Correct zone or region; a zone belongs to one region.',
 )
 def check_regions(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find targets that disagree about where their zone is."""
+    """Find targets that give different regions for the same zone."""
     first: dict[str, tuple[str, str]] = {}
     for path, zone in values.select('targets.*.zone'):
-        where = ('targets', path[1], 'region')
-        region = values.find('targets.*.region', where)
+        field_path = ('targets', path[1], 'region')
+        region = values.find('targets.*.region', field_path)
         if region is None:
             continue
-        known, owner = first.setdefault(zone, (region, path[1]))
-        if known != region:
-            text = f'{owner} has zone {zone} in region {known}.'
-            yield checks.Finding(where, text)
+        first_region, owner = first.setdefault(zone, (region, path[1]))
+        if first_region != region:
+            text = f'{owner} has zone {zone} in region {first_region}.'
+            yield checks.Finding(field_path, text)
 
 
 @checks.register(
@@ -300,33 +300,33 @@
 def check_clients_with_keys(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find clients that cannot send anything."""
+    """Find clients that cannot authenticate."""
     for path, hashes in values.select('clients.*.key_hashes'):
         if not hashes:
-            yield checks.Finding(path, 'Nobody can be this client.')
+            yield checks.Finding(path, 'No key authenticates this client.')
 
 
 @checks.register(
     _FOLDER,
     'W002',
     'An outcome of a tool that is not idempotent may stay unknown.',
-    'Set query on the targets of its group if the service can tell what '
-    'became of a call.',
+    'Set query on the targets of its group if the service can report the '
+    'outcome of a call.',
 )
 def check_queries(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find groups whose calls cannot be asked about after a failure."""
-    silent = _list_silent_groups(values)
+    """Find non-idempotent tools on targets that cannot report outcomes."""
+    groups_without_query = _list_groups_without_query(values)
     for path, idempotent in values.select('tools.*.idempotent'):
-        where = ('tools', path[1], 'service')
-        group = values.find('tools.*.service', where)
-        if not idempotent and group in silent:
-            text = f'A target of "{group}" cannot be asked about calls.'
+        field_path = ('tools', path[1], 'service')
+        group = values.find('tools.*.service', field_path)
+        if not idempotent and group in groups_without_query:
+            text = f'A target of "{group}" cannot report call outcomes.'
             yield checks.Finding(path, text)
 
 
-def _list_silent_groups(values: decoding.Values) -> frozenset[str]:
+def _list_groups_without_query(values: decoding.Values) -> frozenset[str]:
     return frozenset(
         values.find('targets.*.group', ('targets', name, 'group')) or ''
         for name in _list_targets(values, 'service')
@@ -337,13 +337,13 @@
 @checks.register(
     _FOLDER,
     'W003',
-    'All service targets of a group stand in one availability zone.',
-    'Add a target in another zone: losing the zone stops these tools.',
+    'All service targets of a group are in one availability zone.',
+    'Add a target in another zone: a zone failure stops these tools.',
 )
 def check_zones(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find groups with several targets in a single zone."""
+    """Find groups whose targets, at least two, are all in one zone."""
     zones: dict[str, list[tuple[str, str]]] = {}
     for name in _list_targets(values, 'service'):
         group = values.find('targets.*.group', ('targets', name, 'group'))
@@ -352,5 +352,5 @@
             zones.setdefault(group, []).append((zone, name))
     for group, found in zones.items():
         if len(found) > 1 and len({zone for zone, _ in found}) == 1:
-            text = f'Group "{group}" stands in {found[0][0]} only.'
+            text = f'Group "{group}" is in {found[0][0]} only.'
             yield checks.Finding(('targets', found[0][1], 'zone'), text)
--- a/libs/settings/vanillayoke/settings/loading.py
+++ b/libs/settings/vanillayoke/settings/loading.py
@@ -1,4 +1,4 @@
-"""Load settings: read, merge, decode and check, with every fault at once."""
+"""Read, merge, decode and check settings, reporting all faults at once."""
 
 import os
 import pathlib
@@ -9,19 +9,19 @@
 from vanillayoke.settings import decoding
 from vanillayoke.settings import faults
 from vanillayoke.settings import folder
+from vanillayoke.settings import folder_checks  # noqa: F401
 from vanillayoke.settings import process
 
 # Importing these modules registers their checks.
-from vanillayoke.settings import processes  # noqa: F401
-from vanillayoke.settings import ranges  # noqa: F401
-from vanillayoke.settings import references  # noqa: F401
+from vanillayoke.settings import process_checks  # noqa: F401
 from vanillayoke.settings import sources
+from vanillayoke.settings import value_checks  # noqa: F401
 
 
 class LoadedFolder(typing.NamedTuple):
     """A settings folder after all checks.
 
-    ``configuration`` is ``None`` where any fault is more than a warning.
+    ``configuration`` is ``None`` if any fault is an error.
     """
 
     configuration: configuration.Configuration | None
@@ -30,7 +30,10 @@
 
 
 class LoadedProcess(typing.NamedTuple):
-    """A process settings file after all checks; ``settings`` likewise."""
+    """A process settings file after all checks.
+
+    ``settings`` is ``None`` if any fault is an error.
+    """
 
     settings: process.ProcessSettings | None
     faults: tuple[faults.Fault, ...]
@@ -43,7 +46,7 @@
         merged.tree, configuration.Configuration, merged.complete
     )
     scopes = [checks.Scope.VALUES]
-    # With a file missing, names would be called unknown that stand in it.
+    # Names defined in an unreadable file would be reported as unknown.
     if merged.complete:
         scopes.append(checks.Scope.FOLDER)
     found = [*merged.faults, *decoded.faults]
@@ -56,7 +59,7 @@
 def inspect_process_settings(
     path: str | os.PathLike[str],
 ) -> LoadedProcess:
-    """Load and check a process settings file, keeping its warnings."""
+    """Load and check a process settings file; warnings are included."""
     source = folder.load_file(pathlib.Path(path))
     if source.tree is None:
         return LoadedProcess(None, source.faults)
@@ -71,7 +74,7 @@
 def load_process_settings(
     path: str | os.PathLike[str],
 ) -> process.ProcessSettings | list[faults.Fault]:
-    """Load a process settings file, or return what is wrong with it."""
+    """Load a process settings file, or return its faults."""
     loaded = inspect_process_settings(path)
     if loaded.settings is None:
         return list(loaded.faults)
--- a/libs/settings/vanillayoke/settings/origins.py
+++ b/libs/settings/vanillayoke/settings/origins.py
@@ -1,4 +1,4 @@
-"""The merged settings with the file and line that each value came from."""
+"""List the file and line that each merged value came from."""
 
 import typing
 
@@ -25,4 +25,4 @@
         if isinstance(node, sources.MapNode) and node.entries:
             yield from _walk(node, (*path, key))
         else:
-            yield Origin((*path, key), sources.make_plain(node), place)
+            yield Origin((*path, key), sources.to_builtins(node), place)
--- a/libs/settings/vanillayoke/settings/process.py
+++ b/libs/settings/vanillayoke/settings/process.py
@@ -1,4 +1,4 @@
-"""Settings of one process: who it is and where the platform is."""
+"""Settings of one process: its identity and the platform's addresses."""
 
 import msgspec
 
@@ -8,11 +8,11 @@
 class InstanceSettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """Who this process is; addresses are ``IP:PORT``.
+    """Name, location and addresses of the instance.
 
-    ``entry_address`` is for callers and operators, ``peer_address`` for
-    the other instances; the ``*_listen`` ones differ only behind a
-    translation of addresses.
+    Addresses are ``IP:PORT``. ``entry_address`` is for callers and operators,
+    ``peer_address`` for the other instances. The ``*_listen`` fields are
+    needed only behind network address translation.
     """
 
     name: str
@@ -41,7 +41,8 @@
 ):
     """Lease times in seconds.
 
-    ``margin`` is added by a taker and taken off by the holder.
+    The holder stops acting ``margin`` before its lease expires; a watcher
+    waits ``margin`` after the expiry before it takes over.
     """
 
     time_to_live: float = 6.0
@@ -51,11 +52,12 @@
 class StoreSettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """How much of the platform's store all instances may use together.
+    """Use of the platform's store.
 
-    ``unavailable`` says what happens to a non-idempotent call while the
-    store is down: ``refuse`` at once, or ``wait`` to its deadline. An
-    ended program can be read for ``retention`` seconds.
+    ``writes_per_second`` applies to all instances together. ``unavailable``
+    says what happens to a non-idempotent call while the store is unavailable:
+    ``refuse`` it at once, or ``wait`` until its deadline. An ended program can
+    be read for ``retention`` seconds.
     """
 
     writes_per_second: float = 300.0
@@ -92,8 +94,8 @@
 ):
     """The key that signs orders to targets with ``signed_orders``.
 
-    While keys rotate, targets accept the old and the new one; instances
-    are then restarted with the new one.
+    To rotate the key, configure targets to accept both keys, then restart
+    the instances with the new one.
     """
 
     key_id: str = ''
--- a/libs/settings/vanillayoke/settings/processes.py
+++ b/libs/settings/vanillayoke/settings/process_checks.py
@@ -7,11 +7,11 @@
 from vanillayoke.settings import checks
 from vanillayoke.settings import decoding
 from vanillayoke.settings import process
-from vanillayoke.settings import ranges
+from vanillayoke.settings import value_checks
 
 _PROCESS = checks.Scope.PROCESS
 CHOICES = {'store.unavailable': process.UNAVAILABLE}
-_SHORTEST_KEY = 16
+_MIN_KEY_LENGTH = 16
 _POSITIVE = (
     'platform.timeout',
     'lease.time_to_live',
@@ -43,28 +43,29 @@
     'E301',
     'A number of the process settings must be above 0.',
     'Give a number above 0.',
-    functools.partial(ranges.check_positive, _POSITIVE),
+    functools.partial(value_checks.check_positive, _POSITIVE),
 )
 _add(
     'E302',
     'A number of the process settings must not be below 0.',
     'Give 0 or more.',
     functools.partial(
-        ranges.check_not_negative, ('entry.drain_grace', 'probe.indirect')
+        value_checks.check_not_negative,
+        ('entry.drain_grace', 'probe.indirect'),
     ),
 )
 _add(
     'E303',
     'An address of the instance is not IP:PORT.',
     'Write it like 10.0.0.7:8000; host names are not looked up.',
-    functools.partial(ranges.check_addresses, _ADDRESSES),
+    functools.partial(value_checks.check_addresses, _ADDRESSES),
 )
 _add(
     'E304',
     'A name of the instance is empty.',
     'Give the name.',
     functools.partial(
-        ranges.check_present,
+        value_checks.check_present,
         ('instance.name', 'instance.zone', 'instance.region'),
     ),
 )
@@ -72,7 +73,7 @@
     'E305',
     'A text of the process settings is not on the list of allowed ones.',
     'Take one of the names listed in docs/reference/settings.md.',
-    functools.partial(ranges.check_choices, CHOICES),
+    functools.partial(value_checks.check_choices, CHOICES),
 )
 
 
@@ -86,10 +87,12 @@
 def check_listens(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find listening addresses that are given but not usable."""
+    """Find listening addresses that are given but invalid."""
     for pattern in _LISTENS:
         for path, value in values.select(pattern):
-            problem = ranges.find_address_problem(value) if value else None
+            problem = (
+                value_checks.find_address_problem(value) if value else None
+            )
             if problem:
                 yield checks.Finding(path, problem)
 
@@ -98,7 +101,7 @@
     _PROCESS,
     'E307',
     "A URL of the platform's services is not usable.",
-    'Write it like http://10.0.0.9:8500, with IP number and port.',
+    'Write it like http://10.0.0.9:8500, with IP address and port.',
 )
 def check_urls(
     values: decoding.Values,
@@ -116,14 +119,14 @@
     try:
         parts = urllib.parse.urlsplit(url)
     except ValueError as error:
-        return f'"{url}" is no URL: {error}.'
+        return f'"{url}" is not a URL: {error}.'
     if parts.scheme not in ('http', 'https'):
         return f'"{url}" is neither http nor https.'
     if parts.username or parts.password:
-        return 'The URL holds a user name or password.'
+        return 'The URL contains a user name or password.'
     if parts.query or parts.fragment:
         return f'"{url}" has a query or fragment.'
-    return ranges.find_address_problem(parts.netloc)
+    return value_checks.find_address_problem(parts.netloc)
 
 
 @checks.register(
@@ -135,14 +138,14 @@
 def check_ports(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find instances whose two listeners would want one port."""
-    where = ('instance', 'peer_address')
-    peer = values.find('instance.peer_address', where)
+    """Find instances whose two listeners would use the same port."""
+    peer_path = ('instance', 'peer_address')
+    peer = values.find('instance.peer_address', peer_path)
     entry = values.find(
         'instance.entry_address', ('instance', 'entry_address')
     )
     if peer is not None and peer == entry:
-        yield checks.Finding(where, f'"{peer}" is the entry address too.')
+        yield checks.Finding(peer_path, f'"{peer}" is also the entry address.')
 
 
 @checks.register(
@@ -154,7 +157,7 @@
 def check_margin(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find margins that eat up the lease."""
+    """Find margins that take up half of the lease or more."""
     lease = values.find('lease', ('lease',))
     if lease is None or lease.time_to_live <= 0:
         return
@@ -173,7 +176,7 @@
 def check_platform_timeout(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find timeouts that leave one try to renew a lease."""
+    """Find timeouts that leave no time to retry a lease renewal."""
     lease = values.find('lease', ('lease',))
     platform = values.find('platform', ('platform',))
     if lease is None or platform is None or lease.time_to_live <= 0:
@@ -187,14 +190,14 @@
     _PROCESS,
     'E311',
     'The operator key is too short to be safe.',
-    f'Take at least {_SHORTEST_KEY} characters from a random source.',
+    f'Take at least {_MIN_KEY_LENGTH} characters from a random source.',
 )
 def check_operator_key(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find keys that could be guessed; the text does not repeat them."""
+    """Find keys that are too short; the text does not contain them."""
     for path, key in values.select('operator_key'):
-        if 0 < len(key) < _SHORTEST_KEY:
+        if 0 < len(key) < _MIN_KEY_LENGTH:
             yield checks.Finding(path, f'It has {len(key)} characters.')
 
 
@@ -202,17 +205,17 @@
     _PROCESS,
     'E312',
     'The key that signs orders is incomplete or too short to be safe.',
-    f'Set key_id and a secret of at least {_SHORTEST_KEY} characters.',
+    f'Set key_id and a secret of at least {_MIN_KEY_LENGTH} characters.',
 )
 def check_signing_key(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find half a key, or one that could be guessed."""
+    """Find signing keys that are incomplete or too short."""
     key_ids = dict(values.select('signing.key_id'))
     secrets = dict(values.select('signing.secret'))
     has_id = any(key_ids.values())
     for path, secret in secrets.items():
-        if has_id and len(secret) < _SHORTEST_KEY:
+        if has_id and len(secret) < _MIN_KEY_LENGTH:
             yield checks.Finding(path, f'It has {len(secret)} characters.')
         if secret and not has_id:
             yield checks.Finding(path, 'It has no key_id.')
@@ -230,6 +233,6 @@
 def check_operator_access(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find instances that no operator can ask."""
+    """Find instances without an operator key."""
     if not values.find('operator_key', ('operator_key',)):
         yield checks.Finding(('operator_key',), 'No operator key is set.')
--- a/libs/settings/vanillayoke/settings/reference.py
+++ b/libs/settings/vanillayoke/settings/reference.py
@@ -17,8 +17,8 @@
 
 # Importing this module registers all checks.
 from vanillayoke.settings import loading  # noqa: F401
-from vanillayoke.settings import processes
-from vanillayoke.settings import ranges
+from vanillayoke.settings import process_checks
+from vanillayoke.settings import value_checks
 
 PAGE = 'settings.md'
 _INTRODUCTION = f"""# Settings
@@ -96,7 +96,10 @@
 
 def _render_choices() -> str:
     lines = ['## Closed lists', '', '| field | allowed |', '|---|---|']
-    for pattern, allowed in {**ranges.CHOICES, **processes.CHOICES}.items():
+    for pattern, allowed in {
+        **value_checks.CHOICES,
+        **process_checks.CHOICES,
+    }.items():
         shown = ', '.join(f'`{name}`' for name in allowed)
         lines.append(f'| `{pattern}` | {shown} |')
     return '\n'.join(lines) + '\n'
--- a/libs/settings/vanillayoke/settings/schema.py
+++ b/libs/settings/vanillayoke/settings/schema.py
@@ -9,8 +9,8 @@
 from vanillayoke.settings import descriptions
 from vanillayoke.settings import folder
 from vanillayoke.settings import process
-from vanillayoke.settings import processes
-from vanillayoke.settings import ranges
+from vanillayoke.settings import process_checks
+from vanillayoke.settings import value_checks
 
 DIALECT = 'https://json-schema.org/draft/2020-12/schema'
 _NULL = {'type': 'null'}
@@ -21,10 +21,10 @@
 def make_folder_schema() -> Schema:
     """Return the schema of one file of a settings folder.
 
-    A file may hold any part of the whole, so nothing is required of it,
-    and ``null`` is allowed for removals.
+    A file may contain any part of the settings, so no field is required, and
+    ``null`` is allowed for removals.
     """
-    schema = _make_schema(configuration.Configuration, ranges.CHOICES)
+    schema = _make_schema(configuration.Configuration, value_checks.CHOICES)
     for definition in schema['$defs'].values():
         definition.pop('required', None)
         definition['properties'] = {
@@ -38,7 +38,7 @@
 
 def make_process_schema() -> Schema:
     """Return the schema of a process settings file."""
-    return _make_schema(process.ProcessSettings, processes.CHOICES)
+    return _make_schema(process.ProcessSettings, process_checks.CHOICES)
 
 
 def _make_schema(
@@ -74,7 +74,7 @@
 def _find_field(
     kind: type[msgspec.Struct], pattern: str
 ) -> tuple[type[msgspec.Struct], str]:
-    """Return the struct and field that a pattern leads to."""
+    """Return the struct type and the field name of a pattern."""
     section, *_, name = pattern.split('.')
     found = typing.get_type_hints(kind)[section]
     entry = typing.get_args(found)
@@ -82,12 +82,12 @@
 
 
 def _allow_null(value: Schema) -> Schema:
-    notes = {
+    annotations = {
         name: value.pop(name)
         for name in ('default', 'description')
         if name in value
     }
-    return {**notes, 'anyOf': [value, _NULL]}
+    return {**annotations, 'anyOf': [value, _NULL]}
 
 
 def _allow_null_entries(section: Schema) -> None:
--- a/libs/settings/vanillayoke/settings/sources.py
+++ b/libs/settings/vanillayoke/settings/sources.py
@@ -1,9 +1,8 @@
-"""Settings files as trees whose values know where they stand.
+"""Parse settings files into trees that record the place of each value.
 
-pyjson5 decides whether a text is well formed. A scan over the accepted text
-then finds the place of each value and refuses what JSON5 allows beyond
-comments and trailing commas; each name, text and number is decoded by
-msgspec.
+pyjson5 checks that a text is well formed. A scan of the accepted text then
+finds the place of each value and rejects JSON5 syntax other than comments and
+trailing commas; msgspec decodes each key, string and number.
 """
 
 import bisect
@@ -15,20 +14,20 @@
 
 from vanillayoke.settings import faults
 
-LARGEST_DEPTH = 32
+MAX_DEPTH = 32
 _INTEGER_LIMIT = 2**63
 
-_SKIPPED = re.compile(
+_BLANKS = re.compile(
     r'(?:[\s\ufeff]+|//[^\n\r\u2028\u2029]*|/\*.*?\*/)*', re.DOTALL
 )
 _STRING = re.compile(r'"(?:[^"\\]|\\.)*"', re.DOTALL)
-_WORD = re.compile(r'''(?:"(?:[^"\\]|\\.)*"|[^\s,:\]}"/]+)''', re.DOTALL)
+_TOKEN = re.compile(r'''(?:"(?:[^"\\]|\\.)*"|[^\s,:\]}"/]+)''', re.DOTALL)
 _LINE_END = re.compile(r'\r\n|\n|\r')
-_NEAR = re.compile(r' near (\d+)')
+_POSITION = re.compile(r' near (\d+)')
 
 
 class ScalarNode(typing.NamedTuple):
-    """A text, number, truth value or null."""
+    """A string, number, boolean or null."""
 
     place: faults.Place
     value: str | int | float | bool | None
@@ -42,14 +41,14 @@
 
 
 class Entry(typing.NamedTuple):
-    """A key's place and its value."""
+    """The place of a key, and its value."""
 
     place: faults.Place
     node: 'Node'
 
 
 class MapNode(typing.NamedTuple):
-    """A map; ``removed`` gives the place where a key was taken out."""
+    """A map; ``removed`` holds the places where keys were removed."""
 
     place: faults.Place
     entries: dict[str, Entry]
@@ -60,7 +59,7 @@
 
 
 class Source(typing.NamedTuple):
-    """One file's tree, ``None`` where it cannot be used, and its faults."""
+    """The tree of a file, ``None`` if it is unusable, and its faults."""
 
     tree: MapNode | None
     faults: tuple[faults.Fault, ...]
@@ -70,7 +69,7 @@
     """Parse the text of one settings file."""
     scanner = _Scanner(file, text)
     try:
-        pyjson5.decode(text, maxdepth=LARGEST_DEPTH)
+        pyjson5.decode(text, maxdepth=MAX_DEPTH)
     except pyjson5.Json5DecoderException as error:
         return Source(None, (_describe_syntax(scanner, error),))
     try:
@@ -83,27 +82,27 @@
     return Source(tree, tuple(scanner.faults))
 
 
-def make_plain(node: Node) -> typing.Any:
+def to_builtins(node: Node) -> typing.Any:
     """Return a tree as plain dicts, lists and scalars."""
     match node:
         case ScalarNode(value=value):
             return value
         case ListNode(items=items):
-            return [make_plain(item) for item in items]
+            return [to_builtins(item) for item in items]
         case MapNode(entries=entries):
             return {
-                key: make_plain(entry.node) for key, entry in entries.items()
+                key: to_builtins(entry.node) for key, entry in entries.items()
             }
 
 
 def find_end(file: str, text: str) -> faults.Place:
-    """Return the place behind the end of a text."""
+    """Return the place just after the end of a text."""
     lines = _LINE_END.split(text)
     return faults.Place(file, len(lines), len(lines[-1]) + 1)
 
 
 class _ScanError(Exception):
-    """Scanning cannot go on; leaves this module only as a fault."""
+    """Scanning cannot continue; ``parse_source`` returns the fault."""
 
     def __init__(self, fault: faults.Fault) -> None:
         super().__init__(fault.text)
@@ -111,13 +110,13 @@
 
 
 class _Scanner:
-    """Walks a text that pyjson5 has accepted."""
+    """Scans a text that pyjson5 has accepted."""
 
     def __init__(self, file: str, text: str) -> None:
         self.faults: list[faults.Fault] = []
         self._file = file
         self._text = text
-        self._at = 0
+        self._offset = 0
         ends = (match.end() for match in _LINE_END.finditer(text))
         self._line_starts = [0, *ends]
 
@@ -127,47 +126,47 @@
         column = offset - self._line_starts[line - 1] + 1
         return faults.Place(self._file, line, column)
 
-    def find_next(self, offset: int) -> int:
-        """Return the offset of what follows white space and comments."""
-        return _SKIPPED.match(self._text, offset).end()
+    def find_token(self, offset: int) -> int:
+        """Return the offset of the next token after blanks and comments."""
+        return _BLANKS.match(self._text, offset).end()
 
     def scan_document(self) -> Node:
         """Return the tree of the whole text."""
-        self._skip()
+        self._skip_blanks()
         return self._scan_value(())
 
-    def _skip(self) -> None:
-        self._at = self.find_next(self._at)
+    def _skip_blanks(self) -> None:
+        self._offset = self.find_token(self._offset)
 
-    def _take(self, character: str) -> bool:
-        self._skip()
-        if not self._text.startswith(character, self._at):
+    def _consume(self, character: str) -> bool:
+        self._skip_blanks()
+        if not self._text.startswith(character, self._offset):
             return False
-        self._at += 1
+        self._offset += 1
         return True
 
     def _scan_value(self, path: faults.Path) -> Node:
-        place = self.find_place(self._at)
-        if self._take('{'):
+        place = self.find_place(self._offset)
+        if self._consume('{'):
             return self._scan_map(place, path)
-        if self._take('['):
+        if self._consume('['):
             return self._scan_list(place, path)
         return ScalarNode(place, self._scan_scalar(place, path))
 
     def _scan_map(self, place: faults.Place, path: faults.Path) -> MapNode:
         entries: dict[str, Entry] = {}
-        while not self._take('}'):
-            key_place = self.find_place(self._at)
+        while not self._consume('}'):
+            key_place = self.find_place(self._offset)
             key = self._scan_key(key_place, path)
-            self._take(':')
-            self._skip()
+            self._consume(':')
+            self._skip_blanks()
             node = self._scan_value((*path, key))
-            self._note_repeat(entries, key, key_place, path)
+            self._report_duplicate(entries, key, key_place, path)
             entries[key] = Entry(key_place, node)
-            self._take(',')
+            self._consume(',')
         return MapNode(place, entries)
 
-    def _note_repeat(
+    def _report_duplicate(
         self,
         entries: dict[str, Entry],
         key: str,
@@ -176,30 +175,30 @@
     ) -> None:
         if key not in entries:
             return
-        text = f'The key stands on line {entries[key].place.line} already.'
+        text = f'The key is already on line {entries[key].place.line}.'
         self.faults.append(_make_fault('E005', place, (*path, key), text))
 
     def _scan_list(self, place: faults.Place, path: faults.Path) -> ListNode:
         items: list[Node] = []
-        while not self._take(']'):
+        while not self._consume(']'):
             items.append(self._scan_value((*path, len(items))))
-            self._take(',')
+            self._consume(',')
         return ListNode(place, tuple(items))
 
     def _scan_key(self, place: faults.Place, path: faults.Path) -> str:
-        match = _STRING.match(self._text, self._at)
+        match = _STRING.match(self._text, self._offset)
         if match is None:
-            self._refuse(place, path, 'This key is not in double quotes.')
-        self._at = match.end()
+            self._fail(place, path, 'This key is not in double quotes.')
+        self._offset = match.end()
         return self._decode(match.group(), place, path)
 
     def _scan_scalar(
         self, place: faults.Place, path: faults.Path
     ) -> str | int | float | bool | None:
-        match = _WORD.match(self._text, self._at)
+        match = _TOKEN.match(self._text, self._offset)
         if match is None:
-            self._refuse(place, path, 'This value is not written as in JSON.')
-        self._at = match.end()
+            self._fail(place, path, 'This value is not written as in JSON.')
+        self._offset = match.end()
         value = self._decode(match.group(), place, path)
         if isinstance(value, int) and abs(value) >= _INTEGER_LIMIT:
             text = 'The number is too large.'
@@ -208,14 +207,14 @@
         return value
 
     def _decode(
-        self, word: str, place: faults.Place, path: faults.Path
+        self, token: str, place: faults.Place, path: faults.Path
     ) -> typing.Any:
         try:
-            return msgspec.json.decode(word)
+            return msgspec.json.decode(token)
         except msgspec.DecodeError:
-            self._refuse(place, path, 'This is not written as in JSON.')
+            self._fail(place, path, 'This is not written as in JSON.')
 
-    def _refuse(
+    def _fail(
         self, place: faults.Place, path: faults.Path, text: str
     ) -> typing.NoReturn:
         raise _ScanError(_make_fault('E004', place, path, text))
@@ -225,13 +224,13 @@
     scanner: _Scanner, error: pyjson5.Json5DecoderException
 ) -> faults.Fault:
     message = str(error.args[0])
-    near = _NEAR.search(message)
-    # pyjson5 counts characters from 1, and from 0 in an empty text.
-    offset = max(int(near.group(1)) - 1, 0) if near else 0
+    position = _POSITION.search(message)
+    # pyjson5 counts characters from 1, but from 0 in an empty text.
+    offset = max(int(position.group(1)) - 1, 0) if position else 0
     if isinstance(error, pyjson5.Json5ExtraData):
-        # It names the end of the document, not what comes after it.
-        offset = scanner.find_next(offset + 1)
-    reason = _NEAR.sub('', message).replace("b'", "'")
+        # The error gives the end of the document, not the extra data.
+        offset = scanner.find_token(offset + 1)
+    reason = _POSITION.sub('', message).replace("b'", "'")
     place = scanner.find_place(offset)
     return _make_fault('E003', place, (), f'{reason.rstrip(".")}.')
 
--- a/libs/settings/vanillayoke/settings/ranges.py
+++ b/libs/settings/vanillayoke/settings/value_checks.py
@@ -1,4 +1,4 @@
-"""Checks of single values: ranges, syntax and closed lists of names."""
+"""Checks of single values: ranges, syntax and allowed values."""
 
 import functools
 import ipaddress
@@ -50,7 +50,7 @@
 _ENTRY_NAME = re.compile(r'[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}')
 _TOOL_NAME = re.compile(r'[A-Za-z0-9_-]{1,64}')
 _KEY_HASH = re.compile(r'[0-9a-f]{64}')
-_LARGEST_PORT = 65535
+_MAX_PORT = 65535
 
 _VALUES = checks.Scope.VALUES
 
@@ -84,24 +84,24 @@
 
 def _check_numbers(
     patterns: typing.Iterable[str],
-    fits: typing.Callable[[float], bool],
-    complaint: str,
+    is_valid: typing.Callable[[float], bool],
+    problem: str,
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
     for pattern in patterns:
         for path, value in values.select(pattern):
-            if not fits(value):
-                yield checks.Finding(path, f'{value} {complaint}.')
+            if not is_valid(value):
+                yield checks.Finding(path, f'{value} {problem}.')
 
 
 def check_choices(
     choices: dict[str, tuple[str, ...]], values: decoding.Values
 ) -> typing.Iterator[checks.Finding]:
-    """Find texts that are not on their closed list."""
+    """Find texts that are not one of the allowed values."""
     for pattern, allowed in choices.items():
         for path, value in values.select(pattern):
             if value not in allowed:
-                text = f'"{value}" is none of {", ".join(allowed)}.'
+                text = f'"{value}" is not one of {", ".join(allowed)}.'
                 yield checks.Finding(path, text)
 
 
@@ -119,7 +119,7 @@
 def check_present(
     patterns: typing.Iterable[str], values: decoding.Values
 ) -> typing.Iterator[checks.Finding]:
-    """Find texts that are empty or only white space."""
+    """Find texts that are empty or only whitespace."""
     for pattern in patterns:
         for path, value in values.select(pattern):
             if not value.strip():
@@ -127,22 +127,22 @@
 
 
 def find_address_problem(address: str) -> str | None:
-    """Return what is wrong with an ``IP:PORT``, ``None`` if nothing.
+    """Return what is wrong with an ``IP:PORT``, ``None`` if it is valid.
 
-    IPv6 addresses stand in brackets: ``[::1]:7000``.
+    IPv6 addresses are written in brackets: ``[::1]:7000``.
     """
     host, colon, port = address.rpartition(':')
     if not colon:
         return f'"{address}" has no port.'
     if not re.fullmatch('[0-9]{1,5}', port):
-        return f'"{port}" is no port number.'
-    if not 0 < int(port) <= _LARGEST_PORT:
-        return f'The port {port} is not in 1 to {_LARGEST_PORT}.'
+        return f'"{port}" is not a port number.'
+    if not 0 < int(port) <= _MAX_PORT:
+        return f'The port {port} is not in 1 to {_MAX_PORT}.'
     bracketed = host.startswith('[') and host.endswith(']')
     try:
         parsed = ipaddress.ip_address(host[1:-1] if bracketed else host)
     except ValueError:
-        return f'"{host}" is no IP number.'
+        return f'"{host}" is not an IP address.'
     if bracketed != (parsed.version == 6):
         return f'"{host}" must be 1.2.3.4 or [::1].'
     return None
@@ -192,19 +192,19 @@
     _VALUES,
     'E107',
     'The name of an entry has characters that are not allowed.',
-    'Use letters, digits and . _ - : / after a first letter or digit; in '
-    "tools' names letters, digits, _ and - only.",
+    'Begin with a letter or digit and use letters, digits and . _ - : / only; '
+    'in names of tools use letters, digits, _ and - only.',
 )
 def check_names(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find names that addresses, metrics or engines could not carry."""
+    """Find names that are not valid in addresses, metrics or engines."""
     for section in _SECTIONS:
         allowed = _TOOL_NAME if section == 'tools' else _ENTRY_NAME
         for name in values.list_names(section):
             if not allowed.fullmatch(name):
                 yield checks.Finding(
-                    (section, name), f'"{name}" is not a usable name.'
+                    (section, name), f'"{name}" is not a valid name.'
                 )
 
 
@@ -212,19 +212,21 @@
     _VALUES,
     'E108',
     'A client key hash is not a SHA-256 in hex.',
-    'Give 64 hex digits in small letters, as sha256sum prints them, never '
-    'the key itself.',
+    'Give 64 lowercase hex digits, as sha256sum prints them, never the key '
+    'itself.',
 )
 def check_key_hashes(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find key hashes of another form.
+    """Find key hashes that are not 64 lowercase hex digits.
 
-    The text is not repeated, since it may be a key given by mistake.
+    The fault does not repeat the value: it may be a key given by mistake.
     """
     for path, value in values.select('clients.*.key_hashes.#'):
         if not _KEY_HASH.fullmatch(value):
-            yield checks.Finding(path, 'The hash is not 64 hex digits.')
+            yield checks.Finding(
+                path, 'The hash is not 64 lowercase hex digits.'
+            )
 
 
 @checks.register(
@@ -236,7 +238,7 @@
 def check_tool_paths(
     values: decoding.Values,
 ) -> typing.Iterator[checks.Finding]:
-    """Find paths that could not be asked for at a service."""
+    """Find paths that are not absolute or have a query or fragment."""
     for path, value in values.select('tools.*.path'):
         if not re.fullmatch(r'/[^\s?#]*', value):
-            yield checks.Finding(path, f'"{value}" is no absolute path.')
+            yield checks.Finding(path, f'"{value}" is not an absolute path.')
--- a/tests/settings/test_folder.py
+++ b/tests/settings/test_folder.py
@@ -1,4 +1,4 @@
-"""Tests of which files of a folder count and how they merge."""
+"""Tests of reading and merging the files of a folder."""
 
 import os
 
@@ -48,7 +48,7 @@
     case.assertEqual([('settings.E012', '20.json', 2)], _list_faults(good))
 
 
-def test_removed_entry_may_come_again(case, good):
+def test_removed_entry_may_be_added_again(case, good):
     good.write('20.json', '{"clients": {"shop": null}}')
     good.write('30.json', '{"clients": {"shop": {"key_hashes": []}}}')
     loaded = loading.load_configuration(good.path)
@@ -68,13 +68,13 @@
     case.assertEqual(9, loaded.configuration.agents['board'].max_tokens)
 
 
-def test_what_is_no_settings_file_is_a_fault(case, good):
+def test_other_files_are_faults(case, good):
     os.symlink(good.path / 'nowhere', good.path / '20.json')
     os.mkfifo(good.path / '30.json')
     os.mkdir(good.path / '40.json')
     good.write('50.jsn', '{}')
     good.write('60\n.json', '{}')
-    good.write('70.json', b' ' * (settings_folder.LARGEST_FILE + 1))
+    good.write('70.json', b' ' * (settings_folder.MAX_FILE_BYTES + 1))
     case.assertEqual(
         [
             ('settings.E001', '20.json', 0),
@@ -88,7 +88,7 @@
     )
 
 
-def test_byte_that_is_not_utf_8_is_found_by_lines_of_editors(case, good):
+def test_place_of_invalid_utf_8_counts_lines_like_editors(case, good):
     good.write('20.json', '{\r\n// \u2028 \x85\r"a'.encode() + b'\xff')
     case.assertEqual([('settings.E002', '20.json', 3)], _list_faults(good))
 
@@ -101,7 +101,7 @@
     os.mkdir(folder.path)
 
 
-def test_broken_file_hides_no_fault_of_the_others(case, good):
+def test_broken_file_does_not_hide_faults_of_other_files(case, good):
     good.write('20.json', '{"agents": }')
     good.write('30.json', '{"policy": {"urgent_reserve": 2}}')
     case.assertEqual(
@@ -110,11 +110,10 @@
     )
 
 
-def test_broken_file_makes_no_name_unknown(case, good):
-    """One missing comma is buried under a page of faults.
+def test_names_of_broken_file_are_not_reported_as_unknown(case, good):
+    """One syntax error causes many further faults.
 
-    The broken file held what the others refer to or override; each such
-    name would be called unknown, missing or not there to be removed.
+    Names that the broken file defines are reported as unknown elsewhere.
     """
     good.write('20.json', '{"models": {"second": {}}} oops')
     good.write(
--- a/tests/settings/test_sources.py
+++ b/tests/settings/test_sources.py
@@ -1,4 +1,4 @@
-"""Tests of JSON with comments and of the places of its values."""
+"""Tests of parsing JSON with comments and of the places of values."""
 
 import hypothesis
 from hypothesis import strategies
@@ -35,7 +35,7 @@
 def test_comments_and_trailing_commas_are_read(case):
     source = _parse('/* a */ { // b\r\n "k": [1, 2,], /* c */ "x": {}, }\n')
     case.assertEqual((), source.faults)
-    plain = sources.make_plain(source.tree)
+    plain = sources.to_builtins(source.tree)
     case.assertEqual({'k': [1, 2], 'x': {}}, plain)
 
 
@@ -49,13 +49,13 @@
         )
 
 
-def test_comment_signs_in_texts_are_text(case):
+def test_comment_marks_inside_strings_are_kept(case):
     text = '{"a//b": "/* \\" // */", "c": "}"}'
-    plain = sources.make_plain(_parse(text).tree)
+    plain = sources.to_builtins(_parse(text).tree)
     case.assertEqual({'a//b': '/* " // */', 'c': '}'}, plain)
 
 
-def test_faults_stand_where_they_are(case):
+def test_faults_are_reported_at_their_place(case):
     for text, found in (
         ('', ('settings.E003', 1, 1)),
         ('{"a": 1\n "b": 2}', ('settings.E003', 2, 2)),
@@ -85,10 +85,10 @@
     blob = msgspec.json.format(msgspec.json.encode(value), indent=2)
     source = _parse(blob.decode())
     assert source.faults == ()
-    assert sources.make_plain(source.tree) == value
+    assert sources.to_builtins(source.tree) == value
 
 
-def test_any_json_is_read_as_it_is(case):
+def test_any_json_is_read_unchanged(case):
     _check_round_trip()
 
 
