--- a/tests/cli/test_remote.py
+++ b/tests/cli/test_remote.py
@@ -221,8 +221,8 @@
     An operator applies a folder in which one value is wrong; what is in
     force must stay, and the store must not even be asked.
     """
-    for one in (*broken.list_by_hand(), *broken.generate()):
-        line.folder.write(broken.CHANGED, one.text)
+    for one in (*broken.list_handwritten(), *broken.generate()):
+        line.folder.write(broken.CHANGED_FILE, one.text)
         ran = await line.wait('apply', line.folder.path)
         where = f'{line.folder.path / one.file}:{one.line}:'
         case.assertEqual((2, ''), (ran.status, ran.output))
--- a/tests/settings/folders.py
+++ b/tests/settings/folders.py
@@ -29,7 +29,7 @@
 
 
 class Folder:
-    """A folder in which tests write settings files."""
+    """A folder to which tests write settings files."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self.path = path
@@ -44,13 +44,13 @@
 
 @fixtures.fixture
 def folder():
-    """Give an empty folder."""
+    """Provide an empty folder."""
     with tempfile.TemporaryDirectory() as path:
         yield Folder(pathlib.Path(path))
 
 
 @fixtures.fixture
 def good(folder):
-    """Give a folder with one sound file, ``BASE``."""
+    """Provide a folder with one valid file, ``BASE``."""
     folder.write(BASE, GOOD)
     return folder
--- a/tests/settings/test_process.py
+++ b/tests/settings/test_process.py
@@ -24,7 +24,7 @@
     },
     'operator_key': 'k' * 16,
 }
-_WRONG = (
+_INVALID = (
     (('probe', 'interval'), 0, 'E301'),
     (('lease', 'margin'), -1, 'E301'),
     (('timeline_events',), 0, 'E301'),
@@ -60,14 +60,14 @@
 
 def _change(path, value):
     changed = copy.deepcopy(_GOOD)
-    inner = changed
+    section = changed
     for part in path[:-1]:
-        inner = inner.setdefault(part, {})
-    inner[path[-1]] = value
+        section = section.setdefault(part, {})
+    section[path[-1]] = value
     return changed
 
 
-def test_sound_file_is_loaded(case, folder):
+def test_valid_file_is_loaded(case, folder):
     settings = {'$schema': 'process.schema.json', **_GOOD}
     loaded = loading.inspect_process_settings(_write(folder, settings))
     case.assertEqual((), loaded.faults)
@@ -76,8 +76,8 @@
     case.assertEqual(loaded.settings, loading.load_process_settings(file))
 
 
-def test_each_wrong_value_is_named(case, folder):
-    for path, value, id in _WRONG:
+def test_each_invalid_value_is_reported(case, folder):
+    for path, value, id in _INVALID:
         file = _write(folder, _change(path, value))
         faults = loading.inspect_process_settings(file).faults
         ids = {fault.rule.id for fault in faults}
@@ -85,10 +85,10 @@
 
 
 def test_every_rule_of_process_settings_is_tested(case):
-    tested = {f'settings.{id}' for _, _, id in _WRONG}
+    tested = {f'settings.{id}' for _, _, id in _INVALID}
     rules = {rule.id for rule in checks.list_rules()}
-    wanted = {id for id in rules if id[9:11] in ('E3', 'W3')}
-    case.assertEqual(set(), wanted - tested)
+    process_rules = {id for id in rules if id[9:11] in ('E3', 'W3')}
+    case.assertEqual(set(), process_rules - tested)
 
 
 def test_keys_are_not_repeated_in_faults(case, folder):
--- a/tests/settings/test_views.py
+++ b/tests/settings/test_views.py
@@ -1,4 +1,4 @@
-"""Tests of what operators look at: differences, origins and schemas."""
+"""Tests of differences, origins, encodings and schemas."""
 
 import json
 
@@ -24,7 +24,7 @@
     good.write('21.json', '{"agents": {"new": {"model": "mm"}}}')
     good.write('22.json', '{"clients": {"shop": null}}')
     found = differences.compare(old, _load(good).configuration)
-    lines = [differences.format_difference(one) for one in found]
+    lines = [differences.format_difference(difference) for difference in found]
     case.assertEqual('~ agents.board.max_tokens: 512 -> 9', lines[0])
     case.assertTrue(lines[1].startswith('+ agents.new: {"model": "mm"'))
     case.assertTrue(lines[2].startswith('- clients.shop: {"key_hashes"'))
@@ -41,7 +41,7 @@
     case.assertEqual([], differences.compare(made, made))
 
 
-def test_origins_name_the_file_that_won(case, good):
+def test_origins_name_the_last_file_that_sets_a_value(case, good):
     good.write('20.json', '{"agents": {\n"board": {"model": "mm"}}}')
     found = {
         origin.path: (origin.place.file.rpartition('/')[2], origin.place.line)
@@ -52,7 +52,7 @@
     case.assertEqual((folders.BASE, 3), found[('agents', 'board', 'tools')])
 
 
-def test_published_configuration_survives_its_encoding(case, good):
+def test_published_configuration_is_encoded_and_decoded(case, good):
     published = configuration.PublishedConfiguration(
         version=3, author='ann', configuration=_load(good).configuration
     )
