--- a/libs/settings/vanillayoke/settings/decoding.py
+++ b/libs/settings/vanillayoke/settings/decoding.py
@@ -72,9 +72,9 @@
     """
     decoder = _Decoder(complete)
     settings = decoder.decode_struct(tree, kind, (), '')
-    broken = settings is _INVALID
+    is_invalid = settings is _INVALID
     return Decoded(
-        None if broken else settings, tuple(decoder.faults), decoder.values
+        None if is_invalid else settings, tuple(decoder.faults), decoder.values
     )
 
 
@@ -100,7 +100,7 @@
     ) -> typing.Any:
         fields = {field.name: field for field in msgspec.structs.fields(kind)}
         self._report_unknown(node, list(fields), path)
-        given = {
+        decoded_fields = {
             name: self._decode(
                 node.entries[name].node,
                 field.type,
@@ -117,24 +117,26 @@
         ]
         self._report_missing(node, missing, path)
         unknown = node.entries.keys() - fields.keys()
-        if missing or unknown or _INVALID in given.values():
+        if missing or unknown or _INVALID in decoded_fields.values():
             return _INVALID
-        decoded = kind(**given)
-        self._add_defaults(decoded, given, path, pattern)
+        decoded = kind(**decoded_fields)
+        self._add_defaults(decoded, decoded_fields, path, pattern)
         self.values.add_value(pattern, path, decoded)
         return decoded
 
     def _add_defaults(
         self,
         decoded: msgspec.Struct,
-        given: dict[str, typing.Any],
+        decoded_fields: dict[str, typing.Any],
         path: faults.Path,
         pattern: str,
     ) -> None:
         """Add the defaults of absent structs, so that checks cover them."""
         for name in decoded.__struct_fields__:
             value = getattr(decoded, name)
-            if name not in given and isinstance(value, msgspec.Struct):
+            if name not in decoded_fields and isinstance(
+                value, msgspec.Struct
+            ):
                 default_pattern = _extend(pattern, name)
                 self.values.add_value(default_pattern, (*path, name), value)
 
--- a/libs/settings/vanillayoke/settings/folder.py
+++ b/libs/settings/vanillayoke/settings/folder.py
@@ -33,9 +33,9 @@
 def load_folder(folder: str | os.PathLike[str]) -> MergedFolder:
     """Read and merge all settings files of a folder."""
     path = pathlib.Path(folder)
-    whole = faults.Place(str(path), 0, 0)
-    merger = _Merger(whole)
-    files, found = _list_files(path, whole)
+    root_place = faults.Place(str(path), 0, 0)
+    merger = _Merger(root_place)
+    files, found = _list_files(path, root_place)
     complete = not found
     for file in files:
         source = load_file(file)
@@ -51,17 +51,17 @@
 
 def load_file(file: pathlib.Path) -> sources.Source:
     """Read and parse one file."""
-    whole = faults.Place(str(file), 0, 0)
+    root_place = faults.Place(str(file), 0, 0)
     try:
         blob = _read_regular(file)
     except OSError as error:
-        return _reject_file('E001', whole, f'{error.strerror}.')
+        return _reject_file('E001', root_place, f'{error.strerror}.')
     if blob is None:
-        return _reject_file('E008', whole, 'Not a regular file.')
+        return _reject_file('E008', root_place, 'Not a regular file.')
     if len(blob) > MAX_FILE_BYTES:
         text = f'The file has more than {MAX_FILE_BYTES} bytes.'
-        return _reject_file('E014', whole, text)
-    return _decode_blob(blob, whole)
+        return _reject_file('E014', root_place, text)
+    return _decode_blob(blob, root_place)
 
 
 def _read_regular(file: pathlib.Path) -> bytes | None:
@@ -89,9 +89,9 @@
     return tree._replace(entries=entries)
 
 
-def _decode_blob(blob: bytes, whole: faults.Place) -> sources.Source:
+def _decode_blob(blob: bytes, root_place: faults.Place) -> sources.Source:
     if blob.startswith(b'\xef\xbb\xbf'):
-        place = whole._replace(line=1, column=1)
+        place = root_place._replace(line=1, column=1)
         return _reject_file(
             'E002', place, 'The file begins with a byte order mark.'
         )
@@ -99,9 +99,9 @@
         text = blob.decode('utf-8')
     except UnicodeDecodeError as error:
         valid_part = blob[: error.start].decode('utf-8')
-        place = sources.find_end(whole.file, valid_part)
+        place = sources.find_end(root_place.file, valid_part)
         return _reject_file('E002', place, 'Invalid UTF-8 byte.')
-    return sources.parse_source(whole.file, text)
+    return sources.parse_source(root_place.file, text)
 
 
 def _reject_file(
@@ -112,12 +112,12 @@
 
 
 def _list_files(
-    folder: pathlib.Path, whole: faults.Place
+    folder: pathlib.Path, root_place: faults.Place
 ) -> tuple[list[pathlib.Path], list[faults.Fault]]:
     try:
         names = sorted(os.listdir(folder))
     except OSError as error:
-        rejected = _reject_file('E001', whole, f'{error.strerror}.')
+        rejected = _reject_file('E001', root_place, f'{error.strerror}.')
         return [], list(rejected.faults)
     files: list[pathlib.Path] = []
     found: list[faults.Fault] = []
@@ -132,7 +132,7 @@
         found.extend(_reject_file('E008', place, problem).faults)
     if not files and not found:
         rejected = _reject_file(
-            'E007', whole, 'The folder contains no settings file.'
+            'E007', root_place, 'The folder contains no settings file.'
         )
         found.extend(rejected.faults)
     return files, found
@@ -154,8 +154,8 @@
 class _Merger:
     """Merges files one after another into a tree."""
 
-    def __init__(self, whole: faults.Place) -> None:
-        self.tree = sources.MapNode(whole, {}, {})
+    def __init__(self, root_place: faults.Place) -> None:
+        self.tree = sources.MapNode(root_place, {}, {})
         self.faults: list[faults.Fault] = []
 
     def add(self, tree: sources.MapNode) -> None:
