--- a/libs/settings/vanillayoke/settings/configuration.py
+++ b/libs/settings/vanillayoke/settings/configuration.py
@@ -103,7 +103,7 @@
 class ModelSettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """A model: the version in force and the number of loaded copies."""
+    """A model: the version in force and the required number of copies."""
 
     version: str = '1'
     minimum_copies: int = 1
--- a/libs/settings/vanillayoke/settings/process.py
+++ b/libs/settings/vanillayoke/settings/process.py
@@ -80,7 +80,7 @@
 class EntrySettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """Bounds of the callers' interface; sizes in bytes, times in seconds."""
+    """Limits of the callers' interface; sizes in bytes, times in seconds."""
 
     largest_body: int = 8 * 1024 * 1024
     address_lifetime: float = 30.0
