--- a/libs/cli/vanillayoke/cli/access.py
+++ b/libs/cli/vanillayoke/cli/access.py
@@ -1,4 +1,4 @@
-"""How the operator reaches instances: addresses, key and timeout.
+"""Options for access to instances: addresses, operator key and timeout.
 
 The key comes from a file or the environment, never from the command line,
 where every user of the machine could read it.
@@ -16,8 +16,8 @@
 KEY_VARIABLE = 'VANILLAYOKE_OPERATOR_KEY'
 
 
-class Access(typing.NamedTuple):
-    """Entry addresses, best first; ``timeout`` in seconds."""
+class AccessOptions(typing.NamedTuple):
+    """Entry addresses in order of preference; ``timeout`` in seconds."""
 
     entries: tuple[str, ...]
     key: str
@@ -28,8 +28,8 @@
         return operators.OperatorClient(self.key, self.timeout)
 
 
-class _BadAccess(typing.NamedTuple):
-    """The flags do not say how to reach an instance."""
+class _InvalidOptions(typing.NamedTuple):
+    """The flags and environment do not give valid access options."""
 
     text: str
 
@@ -52,52 +52,58 @@
     )
     flags.DEFINE_float(
         'request_timeout',
-        operators.DEFAULT_TIMEOUT,
-        'Seconds until a request counts as lost.',
+        operators.DEFAULT_TIMEOUT_SECONDS,
+        'Timeout of a request, in seconds.',
         lower_bound=0.01,
         flag_values=values,
     )
 
 
-def read_access(invocation: commands.Invocation) -> Access | None:
-    """Return how to reach instances, from flags and environment.
+def read_access(invocation: commands.Invocation) -> AccessOptions | None:
+    """Return the access options from flags and environment.
 
-    Where these do not tell, say so and return ``None``.
+    If they are missing or invalid, print the reason and return ``None``.
     """
-    found = _find_access(invocation)
-    if isinstance(found, Access):
-        return found
-    invocation.warn(found.text)
+    options = _parse_options(invocation)
+    if isinstance(options, AccessOptions):
+        return options
+    invocation.warn(options.text)
     return None
 
 
-def _find_access(invocation: commands.Invocation) -> Access | _BadAccess:
+def _parse_options(
+    invocation: commands.Invocation,
+) -> AccessOptions | _InvalidOptions:
     given = invocation.flags.entry
     if not given:
         given = invocation.environ.get(ENTRY_VARIABLE, '').split(',')
     entries = tuple(entry.strip() for entry in given if entry.strip())
     if not entries:
-        return _BadAccess(f'Give --entry=IP:PORT or set {ENTRY_VARIABLE}.')
+        return _InvalidOptions(
+            f'Give --entry=IP:PORT or set {ENTRY_VARIABLE}.'
+        )
     for entry in entries:
         problem = ranges.find_address_problem(entry)
         if problem:
-            return _BadAccess(f'--entry: {problem}')
+            return _InvalidOptions(f'--entry: {problem}')
     key = _read_key(invocation)
-    if isinstance(key, _BadAccess):
+    if isinstance(key, _InvalidOptions):
         return key
-    return Access(entries, key, invocation.flags.request_timeout)
+    return AccessOptions(entries, key, invocation.flags.request_timeout)
 
 
-def _read_key(invocation: commands.Invocation) -> str | _BadAccess:
+def _read_key(invocation: commands.Invocation) -> str | _InvalidOptions:
     file = invocation.flags.operator_key_file
     if not file:
         key = invocation.environ.get(KEY_VARIABLE, '').strip()
         if key:
             return key
-        return _BadAccess(f'Give --operator_key_file or set {KEY_VARIABLE}.')
+        return _InvalidOptions(
+            f'Give --operator_key_file or set {KEY_VARIABLE}.'
+        )
     try:
         with open(file, encoding='utf-8') as stream:
             key = stream.read().strip()
     except (OSError, UnicodeDecodeError) as error:
-        return _BadAccess(f'--operator_key_file {file}: {error}')
-    return key or _BadAccess(f'--operator_key_file {file} is empty.')
+        return _InvalidOptions(f'--operator_key_file {file}: {error}')
+    return key or _InvalidOptions(f'--operator_key_file {file} is empty.')
--- a/libs/cli/vanillayoke/cli/commands.py
+++ b/libs/cli/vanillayoke/cli/commands.py
@@ -1,4 +1,4 @@
-"""What a command is and how one is found."""
+"""Commands of the command line and their lookup by name."""
 
 import importlib
 import pkgutil
@@ -20,11 +20,11 @@
     environ: typing.Mapping[str, str]
 
     def print(self, text: str) -> None:
-        """Write a line to the output."""
+        """Write a line to ``output``."""
         self.output.write(f'{text}\n')
 
     def warn(self, text: str) -> None:
-        """Write a line to the errors."""
+        """Write a line to ``errors``."""
         self.errors.write(f'{text}\n')
 
 
@@ -33,7 +33,7 @@
 
     The module has ``ARGUMENTS``, the names of its required arguments,
     ``add_flags(values)`` and ``run(invocation)``, which returns an exit
-    status or a coroutine that gives one. The first line of its docstring
+    status or a coroutine that returns one. The first line of its docstring
     is its help.
     """
 
@@ -42,17 +42,17 @@
 
     @property
     def summary(self) -> str:
-        """Return the help in one line."""
+        """Return the first line of the module's docstring."""
         return self.module.__doc__.partition('\n')[0]
 
     @property
     def usage(self) -> str:
-        """Return how the command is written."""
+        """Return the usage line."""
         words = ['vanillayoke', self.name, *self.module.ARGUMENTS]
         return ' '.join([*words, '[--flags]'])
 
     def make_flags(self) -> flags.FlagValues:
-        """Return fresh flags of this command."""
+        """Return new, unparsed flags of this command."""
         values = flags.FlagValues()
         values.set_gnu_getopt(True)
         flags.DEFINE_bool('help', False, 'Show this help.', flag_values=values)
@@ -61,13 +61,13 @@
 
 
 def list_names() -> list[str]:
-    """Return the names of all commands in order."""
-    found = pkgutil.iter_modules(package.__path__)
-    return sorted(module.name for module in found)
+    """Return the names of all commands in alphabetical order."""
+    modules = pkgutil.iter_modules(package.__path__)
+    return sorted(module.name for module in modules)
 
 
 def find_command(name: str) -> Command | None:
-    """Return a command, ``None`` where there is none of the name."""
+    """Return the command of this name, or ``None``."""
     if name not in list_names():
         return None
     module = importlib.import_module(f'{package.__name__}.{name}')
--- a/libs/cli/vanillayoke/cli/exits.py
+++ b/libs/cli/vanillayoke/cli/exits.py
@@ -4,7 +4,7 @@
 
 
 class Exit(enum.IntEnum):
-    """What a command's exit status tells a script."""
+    """Exit statuses; their meanings are in ``reference``."""
 
     OK = 0
     FAILED = 1
--- a/libs/cli/vanillayoke/cli/instances.py
+++ b/libs/cli/vanillayoke/cli/instances.py
@@ -1,48 +1,50 @@
-"""Finding all instances and asking each of them."""
+"""Discovery of all instances and requests to each of them."""
 
 import asyncio
 import typing
 
 from vanillayoke.cli import access
-from vanillayoke.cli import answers
 from vanillayoke.cli import operators
+from vanillayoke.cli import responses
 
-# States of instances that have gone; nobody waits for these.
+# Instances in these states no longer run and get no requests.
 GONE_STATES = frozenset(('failed', 'left'))
-_LARGEST_FAN_OUT = 16
+_MAX_FAN_OUT = 16
 
-Reply = operators.Answer | operators.Refused | operators.Unreachable
+Outcome = operators.Response | operators.Refused | operators.Unreachable
 
 
-class Replies(typing.NamedTuple):
-    """What the instances said, by address."""
+class InstanceResponses(typing.NamedTuple):
+    """Responses by address, and the requests that failed."""
 
-    answers: dict[str, operators.Answer]
+    responses: dict[str, operators.Response]
     failed: tuple[operators.Refused | operators.Unreachable, ...]
 
 
-class Known(typing.NamedTuple):
-    """Live instances by name, with their addresses where known."""
+class LiveInstances(typing.NamedTuple):
+    """Live instances: their addresses, where known, and rows, by name."""
 
     addresses: dict[str, str]
-    rows: dict[str, answers.InstanceRow]
+    rows: dict[str, responses.InstanceRow]
 
 
 async def find_instances(
-    client: operators.OperatorClient, reached: access.Access
-) -> Known | operators.Refused | operators.Unreachable:
-    """Return all instances that the first entry to answer knows of."""
-    failed: Reply | None = None
-    for entry in reached.entries:
-        status = await client.ask(entry, 'status', {})
+    client: operators.OperatorClient, options: access.AccessOptions
+) -> LiveInstances | operators.Refused | operators.Unreachable:
+    """Return the live instances that the first responding entry lists."""
+    failed: Outcome | None = None
+    for entry in options.entries:
+        status = await client.send_command(entry, 'status', {})
         if isinstance(status, dict):
-            listed = await client.list_addresses(entry)
-            return _read_known(status, listed)
+            address_list = await client.list_addresses(entry)
+            return _read_live(status, address_list)
         failed = status
     return failed
 
 
-def _read_known(status: operators.Answer, listed: Reply) -> Known:
+def _read_live(
+    status: operators.Response, address_list: Outcome
+) -> LiveInstances:
     rows = {
         row['instance']: row
         for row in status.get('instances', ())
@@ -53,43 +55,52 @@
         for name, row in rows.items()
         if row.get('address')
     }
-    if isinstance(listed, dict):
-        for row in listed.get('addresses', ()):
+    if isinstance(address_list, dict):
+        for row in address_list.get('addresses', ()):
             addresses[row['instance']] = row['address']
-    return Known(addresses, rows)
+    return LiveInstances(addresses, rows)
 
 
-async def ask_all(
+async def query_all(
     client: operators.OperatorClient,
     addresses: typing.Iterable[str],
     command: str,
     arguments: dict[str, str],
-) -> Replies:
-    """Ask several instances at once."""
-    limit = asyncio.Semaphore(_LARGEST_FAN_OUT)
+) -> InstanceResponses:
+    """Send a command to several instances concurrently."""
+    limit = asyncio.Semaphore(_MAX_FAN_OUT)
 
-    async def ask(address: str) -> Reply:
+    async def send(address: str) -> Outcome:
         async with limit:
-            return await client.ask(address, command, arguments)
-
-    asked = list(dict.fromkeys(addresses))
-    replies = await asyncio.gather(*map(ask, asked))
-    pairs = list(zip(asked, replies, strict=True))
-    return Replies(
-        {name: reply for name, reply in pairs if isinstance(reply, dict)},
-        tuple(reply for reply in replies if not isinstance(reply, dict)),
+            return await client.send_command(address, command, arguments)
+
+    unique = list(dict.fromkeys(addresses))
+    outcomes = await asyncio.gather(*map(send, unique))
+    pairs = list(zip(unique, outcomes, strict=True))
+    return InstanceResponses(
+        {
+            name: outcome
+            for name, outcome in pairs
+            if isinstance(outcome, dict)
+        },
+        tuple(
+            outcome for outcome in outcomes if not isinstance(outcome, dict)
+        ),
     )
 
 
-async def ask_everywhere(
+async def query_instances(
     client: operators.OperatorClient,
-    reached: access.Access,
+    options: access.AccessOptions,
     command: str,
     arguments: dict[str, str],
-) -> Replies | operators.Refused | operators.Unreachable:
-    """Ask all instances that the entries lead to."""
-    known = await find_instances(client, reached)
-    if not isinstance(known, Known):
-        return known
-    addresses = known.addresses.values() or reached.entries
-    return await ask_all(client, addresses, command, arguments)
+) -> InstanceResponses | operators.Refused | operators.Unreachable:
+    """Send a command to all live instances.
+
+    Falls back to the entries where no instance has a known address.
+    """
+    live = await find_instances(client, options)
+    if not isinstance(live, LiveInstances):
+        return live
+    addresses = live.addresses.values() or options.entries
+    return await query_all(client, addresses, command, arguments)
--- a/libs/cli/vanillayoke/cli/lookups.py
+++ b/libs/cli/vanillayoke/cli/lookups.py
@@ -1,4 +1,4 @@
-"""Commands about one program, wherever it runs."""
+"""Commands about one program, on whichever instance it runs."""
 
 from vanillayoke.cli import access
 from vanillayoke.cli import commands
@@ -9,7 +9,7 @@
 from vanillayoke.core import failures
 
 ARGUMENTS = ('PROGRAM',)
-_ELSEWHERE = (
+_NOT_OWNER_KINDS = (
     failures.Kind.NOT_FOUND.value,
     failures.Kind.NOT_OWNER.value,
 )
@@ -18,46 +18,52 @@
 async def run_lookup(
     invocation: commands.Invocation, command: str, render: queries.Render
 ) -> int:
-    """Ask the entry, then all instances, about a program; show it."""
-    reached = access.read_access(invocation)
-    if reached is None:
+    """Query the entry, then all instances, for a program."""
+    options = access.read_access(invocation)
+    if options is None:
         return exits.Exit.BAD_INPUT
     arguments = {'program': invocation.arguments[0]}
-    async with reached.open_client() as client:
-        answer = await queries.ask_first(
-            client, reached.entries, command, arguments
+    async with options.open_client() as client:
+        response = await queries.query_first_reachable(
+            client, options.entries, command, arguments
         )
-        if _is_elsewhere(answer):
-            answer = await _ask_others(
-                client, reached, command, arguments, answer
+        if _is_not_owner(response):
+            response = await _query_instances(
+                client, options, command, arguments, response
             )
-    if not isinstance(answer, dict):
-        return queries.report_failure(invocation, answer)
-    return queries.show_answer(invocation, answer, render)
+    if not isinstance(response, dict):
+        return queries.report_failure(invocation, response)
+    return queries.show_response(invocation, response, render)
 
 
-def _is_elsewhere(reply: instances.Reply) -> bool:
-    return isinstance(reply, operators.Refused) and reply.kind in _ELSEWHERE
+def _is_not_owner(outcome: instances.Outcome) -> bool:
+    return (
+        isinstance(outcome, operators.Refused)
+        and outcome.kind in _NOT_OWNER_KINDS
+    )
 
 
-async def _ask_others(
+async def _query_instances(
     client: operators.OperatorClient,
-    reached: access.Access,
+    options: access.AccessOptions,
     command: str,
     arguments: dict[str, str],
     refused: operators.Refused,
-) -> instances.Reply:
-    """Return the owner's answer, else the most telling failure."""
-    replies = await instances.ask_everywhere(
-        client, reached, command, arguments
+) -> instances.Outcome:
+    """Return the owner's response.
+
+    Without one, prefer a failure other than "not found" or "not owner".
+    """
+    outcomes = await instances.query_instances(
+        client, options, command, arguments
     )
-    if not isinstance(replies, instances.Replies):
-        return replies
-    for answer in replies.answers.values():
-        return answer
-    # An instance that cannot be reached may be the program's owner, so
-    # that its absence must not be reported as the program's.
-    for failed in replies.failed:
-        if not _is_elsewhere(failed):
+    if not isinstance(outcomes, instances.InstanceResponses):
+        return outcomes
+    for response in outcomes.responses.values():
+        return response
+    # An unreachable instance may own the program, so the program must not
+    # be reported as not found.
+    for failed in outcomes.failed:
+        if not _is_not_owner(failed):
             return failed
     return refused
--- a/libs/cli/vanillayoke/cli/main.py
+++ b/libs/cli/vanillayoke/cli/main.py
@@ -15,7 +15,7 @@
 
 
 class Streams(typing.NamedTuple):
-    """Where a command reads its environment and writes its output."""
+    """Output streams and environment of a command."""
 
     output: typing.TextIO
     errors: typing.TextIO
@@ -23,7 +23,7 @@
 
 
 def main(argv: typing.Sequence[str] | None = None) -> int:
-    """Run a command with the process's own streams."""
+    """Run a command with the streams and environment of the process."""
     words = sys.argv[1:] if argv is None else argv
     streams = Streams(sys.stdout, sys.stderr, os.environ)
     try:
@@ -31,8 +31,8 @@
         sys.stdout.flush()
         return status
     except BrokenPipeError:
-        # The reader of a pipe, such as head, went away. Python would
-        # report it once more while closing the stream at exit.
+        # The reader of the pipe, such as head, has exited. Replacing the
+        # stream keeps Python from reporting the error again at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return exits.Exit.FAILED
     except KeyboardInterrupt:
@@ -50,7 +50,7 @@
 def start(
     words: typing.Sequence[str], streams: Streams
 ) -> int | typing.Coroutine[typing.Any, typing.Any, int]:
-    """Run a command, or return the coroutine that does."""
+    """Run a command, or return a coroutine that runs it."""
     if not words or words[0] in _HELP_WORDS:
         return _show_overview(streams, bool(words))
     command = commands.find_command(words[0])
@@ -73,9 +73,11 @@
     if values.help:
         _show_help(command, values, streams)
         return exits.Exit.OK
-    wanted = len(command.module.ARGUMENTS)
-    if len(arguments) != wanted:
-        text = f'{wanted} arguments are needed, {len(arguments)} are given.'
+    expected = len(command.module.ARGUMENTS)
+    if len(arguments) != expected:
+        text = (
+            f'{expected} arguments are expected, {len(arguments)} are given.'
+        )
         return _refuse(command, streams, text)
     return command.module.run(
         commands.Invocation(values, tuple(arguments), *streams)
@@ -87,14 +89,14 @@
     return exits.Exit.BAD_INPUT
 
 
-def _show_overview(streams: Streams, asked: bool) -> int:
-    stream = streams.output if asked else streams.errors
+def _show_overview(streams: Streams, is_requested: bool) -> int:
+    stream = streams.output if is_requested else streams.errors
     stream.write('Usage: vanillayoke COMMAND [--flags]\n\n')
     for name in commands.list_names():
         command = commands.find_command(name)
         stream.write(f'  {name:<10} {command.summary}\n')
     stream.write('\nvanillayoke COMMAND --help lists the flags.\n')
-    return exits.Exit.OK if asked else exits.Exit.BAD_INPUT
+    return exits.Exit.OK if is_requested else exits.Exit.BAD_INPUT
 
 
 def _show_help(
--- a/libs/cli/vanillayoke/cli/management/__init__.py
+++ b/libs/cli/vanillayoke/cli/management/__init__.py
@@ -1,1 +1,1 @@
-"""What operators can do from the command line."""
+"""Package of the commands for operators."""
--- a/libs/cli/vanillayoke/cli/management/commands/__init__.py
+++ b/libs/cli/vanillayoke/cli/management/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, one module each; ``main`` finds them here."""
+"""The commands, one module each; ``commands.list_names`` finds them."""
--- a/libs/cli/vanillayoke/cli/management/commands/apply.py
+++ b/libs/cli/vanillayoke/cli/management/commands/apply.py
@@ -1,4 +1,4 @@
-"""Publish a folder and wait until it is in force everywhere."""
+"""Publish a settings folder and wait until all instances use it."""
 
 import getpass
 import os
@@ -22,15 +22,15 @@
 from vanillayoke.settings import loading
 
 ARGUMENTS = ('FOLDER',)
-DEFAULT_WAIT = 30.0
+DEFAULT_WAIT_SECONDS = 30.0
 
 
 class _Plan(typing.NamedTuple):
-    """What is to be applied and how; ``reached`` is absent for no wait."""
+    """What to apply and how; ``options`` is ``None`` with --nowait."""
 
     configuration: configuration.Configuration
     stores: stores.Stores
-    reached: access.Access | None
+    options: access.AccessOptions | None
 
 
 def add_flags(values: flags.FlagValues) -> None:
@@ -40,12 +40,12 @@
     flags.DEFINE_bool(
         'wait',
         True,
-        'Wait until all live instances have it in force.',
+        'Wait until the configuration is in force on all live instances.',
         flag_values=values,
     )
     flags.DEFINE_float(
         'wait_timeout',
-        DEFAULT_WAIT,
+        DEFAULT_WAIT_SECONDS,
         'Seconds to wait for instances.',
         lower_bound=0.0,
         flag_values=values,
@@ -53,7 +53,7 @@
     flags.DEFINE_string(
         'author',
         '',
-        'Who is named for the change; default: this user.',
+        'Author recorded for the change; default: the current user.',
         flag_values=values,
     )
     flags.DEFINE_integer(
@@ -66,20 +66,20 @@
 
 
 async def run(invocation: commands.Invocation) -> int:
-    """Check, publish, wait."""
+    """Check the folder, publish it and wait for the instances."""
     plan = _make_plan(invocation)
     if plan is None:
         return exits.Exit.BAD_INPUT
     version = await _publish(invocation, plan)
     if not isinstance(version, _Version):
         return version
-    if plan.reached is None:
+    if plan.options is None:
         return exits.Exit.OK
-    return await _wait(invocation, plan.reached, version.number)
+    return await _wait(invocation, plan.options, version.number)
 
 
 class _Version(typing.NamedTuple):
-    """The version that is to be in force."""
+    """The version that is to come into force."""
 
     number: int
 
@@ -87,14 +87,14 @@
 def _make_plan(invocation: commands.Invocation) -> _Plan | None:
     loaded = loading.load_configuration(invocation.arguments[0])
     reports.warn_of_faults(invocation, loaded.faults)
-    found = stores.read_stores(invocation)
+    store_options = stores.read_stores(invocation)
     wait = invocation.flags.wait
-    reached = access.read_access(invocation) if wait else None
-    if found is None or loaded.configuration is None:
+    options = access.read_access(invocation) if wait else None
+    if store_options is None or loaded.configuration is None:
         return None
-    if wait and reached is None:
+    if wait and options is None:
         return None
-    return _Plan(loaded.configuration, found, reached)
+    return _Plan(loaded.configuration, store_options, options)
 
 
 async def _publish(
@@ -103,16 +103,18 @@
     async with plan.stores.open_publisher() as publisher:
         current = await publisher.read_current()
         if failures.is_failure(current):
-            return reports.report_store(invocation, current)
+            return reports.report_store_failure(invocation, current)
         base = invocation.flags.base
         if base is not None and base != current.version:
             lost = publishing.RaceLost(current.version, current.author)
             return _report_result(invocation, lost)
-        found = differences.compare(current.configuration, plan.configuration)
-        if not found and current.version:
+        changes = differences.compare(
+            current.configuration, plan.configuration
+        )
+        if not changes and current.version:
             invocation.print(f'Version {current.version} is the same.')
             return _Version(current.version)
-        for difference in found:
+        for difference in changes:
             invocation.print(differences.format_difference(difference))
         draft = await _make_draft(invocation, plan, current)
         return _report_result(invocation, await publisher.publish(draft))
@@ -126,16 +128,16 @@
         configuration=plan.configuration,
         author=invocation.flags.author or _find_user(invocation),
         write_id=ids.make_id('cfg', random.SystemRandom()),
-        floor=await _find_floor(plan.reached),
+        floor=await _find_highest_version(plan.options),
     )
 
 
-async def _find_floor(reached: access.Access | None) -> int:
+async def _find_highest_version(options: access.AccessOptions | None) -> int:
     """Return the highest version that any instance has in force."""
-    if reached is None:
+    if options is None:
         return 0
-    async with reached.open_client() as client:
-        rollout = await rollouts.read_rollout(client, reached)
+    async with options.open_client() as client:
+        rollout = await rollouts.read_rollout(client, options)
     if not isinstance(rollout, rollouts.Rollout):
         return 0
     return max(rollout.versions.values(), default=0)
@@ -163,15 +165,17 @@
                 'again.'
             )
             return exits.Exit.RACE_LOST
-    return reports.report_store(invocation, result)
+    return reports.report_store_failure(invocation, result)
 
 
 async def _wait(
-    invocation: commands.Invocation, reached: access.Access, version: int
+    invocation: commands.Invocation,
+    options: access.AccessOptions,
+    version: int,
 ) -> int:
-    async with reached.open_client() as client:
+    async with options.open_client() as client:
         lagging = await rollouts.wait_for_version(
-            client, reached, version, invocation.flags.wait_timeout
+            client, options, version, invocation.flags.wait_timeout
         )
     if not isinstance(lagging, list):
         invocation.warn(f'Version {version} is published, but:')
--- a/libs/cli/vanillayoke/cli/management/commands/check.py
+++ b/libs/cli/vanillayoke/cli/management/commands/check.py
@@ -16,7 +16,7 @@
     flags.DEFINE_bool(
         'strict',
         False,
-        'Let warnings fail the check too.',
+        'Treat warnings as errors.',
         flag_values=values,
     )
 
--- a/libs/cli/vanillayoke/cli/management/commands/diff.py
+++ b/libs/cli/vanillayoke/cli/management/commands/diff.py
@@ -25,16 +25,16 @@
 
 
 async def run(invocation: commands.Invocation) -> int:
-    """Compare a folder with what is published."""
+    """Compare a folder with the published configuration."""
     loaded = loading.load_configuration(invocation.arguments[0])
     reports.warn_of_faults(invocation, loaded.faults)
-    reached = stores.read_stores(invocation)
-    if loaded.configuration is None or reached is None:
+    store_options = stores.read_stores(invocation)
+    if loaded.configuration is None or store_options is None:
         return exits.Exit.BAD_INPUT
-    async with reached.open_publisher() as publisher:
+    async with store_options.open_publisher() as publisher:
         current = await publisher.read_current()
     if failures.is_failure(current):
-        return reports.report_store(invocation, current)
+        return reports.report_store_failure(invocation, current)
     _show(invocation, current, loaded.configuration)
     return exits.Exit.OK
 
@@ -42,18 +42,18 @@
 def _show(
     invocation: commands.Invocation,
     current: publishing.Current,
-    wanted: configuration.Configuration,
+    proposed: configuration.Configuration,
 ) -> None:
-    found = differences.compare(current.configuration, wanted)
+    changes = differences.compare(current.configuration, proposed)
     if invocation.flags.json:
-        shown = {
+        document = {
             'version': current.version,
-            'differences': differences.dump_differences(found),
+            'differences': differences.dump_differences(changes),
         }
-        invocation.print(json.dumps(shown, ensure_ascii=False, indent=2))
+        invocation.print(json.dumps(document, ensure_ascii=False, indent=2))
         return
-    for difference in found:
+    for difference in changes:
         invocation.print(differences.format_difference(difference))
     invocation.print(
-        f'{len(found)} differences from version {current.version}.'
+        f'{len(changes)} differences from version {current.version}.'
     )
--- a/libs/cli/vanillayoke/cli/management/commands/drain.py
+++ b/libs/cli/vanillayoke/cli/management/commands/drain.py
@@ -19,29 +19,31 @@
 
 
 async def run(invocation: commands.Invocation) -> int:
-    """Find the instance's address and ask it to drain."""
-    reached = access.read_access(invocation)
-    if reached is None:
+    """Look up the address of the instance and send it a drain request."""
+    options = access.read_access(invocation)
+    if options is None:
         return exits.Exit.BAD_INPUT
     name = invocation.arguments[0]
-    async with reached.open_client() as client:
-        known = await instances.find_instances(client, reached)
-        if not isinstance(known, instances.Known):
-            return queries.report_failure(invocation, known)
-        address = known.addresses.get(name)
+    async with options.open_client() as client:
+        live = await instances.find_instances(client, options)
+        if not isinstance(live, instances.LiveInstances):
+            return queries.report_failure(invocation, live)
+        address = live.addresses.get(name)
         if address is None:
             invocation.warn(
                 f'No live instance "{name}" has a known address; known: '
-                f'{", ".join(sorted(known.addresses)) or "none"}.'
+                f'{", ".join(sorted(live.addresses)) or "none"}.'
             )
             return exits.Exit.BAD_INPUT
-        # The name goes along, so that an instance which has taken over the
-        # address meanwhile refuses instead of stopping.
-        answer = await client.ask(address, 'drain', {'instance': name})
-    if not isinstance(answer, dict):
-        return queries.report_failure(invocation, answer)
-    return queries.show_answer(invocation, answer, _format)
-
-
-def _format(answer: operators.Answer) -> str:
-    return tables.format_fields(answer) or 'The instance is draining.'
+        # With the name, an instance that has since taken over the address
+        # refuses the request instead of stopping.
+        response = await client.send_command(
+            address, 'drain', {'instance': name}
+        )
+    if not isinstance(response, dict):
+        return queries.report_failure(invocation, response)
+    return queries.show_response(invocation, response, _format)
+
+
+def _format(response: operators.Response) -> str:
+    return tables.format_fields(response) or 'The instance is draining.'
--- a/libs/cli/vanillayoke/cli/management/commands/emulate.py
+++ b/libs/cli/vanillayoke/cli/management/commands/emulate.py
@@ -1,4 +1,4 @@
-"""Compare policies under a load on modelled engines, from a scenario file."""
+"""Compare scheduling policies on modelled engines, from a scenario file."""
 
 import pathlib
 
@@ -8,7 +8,7 @@
 from vanillayoke.cli import exits
 
 ARGUMENTS = ('SCENARIO',)
-_BAR = 30
+_PROGRESS_BAR_WIDTH = 30
 
 
 def add_flags(values: flags.FlagValues) -> None:
@@ -22,14 +22,14 @@
     flags.DEFINE_list(
         'policies',
         [],
-        'Policies to compare in place of those of the scenario.',
+        'Policies to compare instead of those of the scenario.',
         flag_values=values,
     )
 
 
 def run(invocation: commands.Invocation) -> int:
-    """Play the scenario's seeds under each policy and print a table."""
-    # Imported late: instances have no emulator.
+    """Run each seed of the scenario under each policy; print a table."""
+    # Imported here, as instances are installed without the emulator.
     from vanillayoke.emulator import emulation
     from vanillayoke.emulator import policies
     from vanillayoke.emulator import reports
@@ -46,19 +46,21 @@
             known = ', '.join(policies.POLICIES)
             invocation.warn(f'No policy is called "{name}"; known: {known}.')
             return exits.Exit.BAD_INPUT
-    played: dict[str, list[emulation.RunResult]] = {name: [] for name in names}
+    results: dict[str, list[emulation.RunResult]] = {
+        name: [] for name in names
+    }
     total = len(names) * len(scenario.seeds)
     for seed in scenario.seeds:
         for name in names:
             policy = policies.POLICIES[name]
-            one = emulation.Emulation(scenario, policy, seed).run()
-            played[name].append(one)
-            _show_progress(invocation, sum(map(len, played.values())), total)
+            result = emulation.Emulation(scenario, policy, seed).run()
+            results[name].append(result)
+            _show_progress(invocation, sum(map(len, results.values())), total)
     invocation.errors.write('\n')
-    rows = [reports.make_row(name, played[name]) for name in names]
+    rows = [reports.make_row(name, results[name]) for name in names]
     invocation.print(reports.format_table(rows))
     if invocation.flags.report:
-        page = reports.render_page(scenario, rows, played)
+        page = reports.render_page(scenario, rows, results)
         pathlib.Path(invocation.flags.report).write_text(page)
     return exits.Exit.OK
 
@@ -66,7 +68,7 @@
 def _show_progress(
     invocation: commands.Invocation, done: int, total: int
 ) -> None:
-    filled = _BAR * done // total
-    bar = '#' * filled + '.' * (_BAR - filled)
+    filled = _PROGRESS_BAR_WIDTH * done // total
+    bar = '#' * filled + '.' * (_PROGRESS_BAR_WIDTH - filled)
     invocation.errors.write(f'\r[{bar}] {done}/{total}')
     invocation.errors.flush()
--- a/libs/cli/vanillayoke/cli/management/commands/explain.py
+++ b/libs/cli/vanillayoke/cli/management/commands/explain.py
@@ -1,4 +1,4 @@
-"""Explain what became of a program, from an instance or from log files."""
+"""Explain how a program was handled, from an instance or from log files."""
 
 import pathlib
 
@@ -13,7 +13,7 @@
 from vanillayoke.core import request_logs
 
 ARGUMENTS = lookups.ARGUMENTS
-_WEIGHED = ('target', 'cost', 'cached', 'reason')
+_PLACEMENT_COLUMNS = ('target', 'cost', 'cached', 'reason')
 
 
 def add_flags(values: flags.FlagValues) -> None:
@@ -22,44 +22,44 @@
     flags.DEFINE_string(
         'logs',
         '',
-        'A folder with the log files of all instances: tells the story of '
-        'one request or program from them and asks no instance.',
+        'A folder with the log files of all instances: shows their lines '
+        'about one request or program and queries no instance.',
         flag_values=values,
     )
 
 
 async def run(invocation: commands.Invocation) -> int:
-    """Tell a story from logs, or ask why targets were chosen."""
+    """Show matching log lines, or query why targets were chosen."""
     if invocation.flags.logs:
-        return _tell(invocation)
+        return _explain_from_logs(invocation)
     return await lookups.run_lookup(invocation, 'explain', format_explanation)
 
 
-def _tell(invocation: commands.Invocation) -> int:
+def _explain_from_logs(invocation: commands.Invocation) -> int:
     folder = pathlib.Path(invocation.flags.logs)
     if not folder.is_dir():
-        invocation.warn(f'{folder} is no folder.')
+        invocation.warn(f'{folder} is not a folder.')
         return exits.Exit.BAD_INPUT
     lines = []
     for path in sorted(folder.iterdir()):
         if path.is_file():
             text = path.read_text(errors='replace')
             lines += request_logs.parse_lines(text.splitlines())
-    [wanted] = invocation.arguments
-    story = request_logs.select_lines(lines, wanted)
-    if not story:
-        invocation.warn(f'No line in {folder} names {wanted}.')
+    [identifier] = invocation.arguments
+    matching_lines = request_logs.select_lines(lines, identifier)
+    if not matching_lines:
+        invocation.warn(f'No log line in {folder} mentions {identifier}.')
         return exits.Exit.FAILED
-    for text in request_logs.format_lines(story):
+    for text in request_logs.format_lines(matching_lines):
         invocation.print(text)
     return exits.Exit.OK
 
 
-def format_explanation(answer: operators.Answer) -> str:
-    """Return placements for people, the chosen target first."""
-    parts = [f'Program: {answer["program"]}']
-    for placement in answer['placements']:
+def format_explanation(response: operators.Response) -> str:
+    """Return placements as text, each with a table of its candidates."""
+    parts = [f'Program: {response["program"]}']
+    for placement in response['placements']:
         title = f'Call {placement["call"]} ran on {placement["target"]}.'
-        table = tables.format_records(_WEIGHED, placement['weighed'])
+        table = tables.format_records(_PLACEMENT_COLUMNS, placement['weighed'])
         parts += ['', title, table]
     return '\n'.join(parts)
--- a/libs/cli/vanillayoke/cli/management/commands/gateway.py
+++ b/libs/cli/vanillayoke/cli/management/commands/gateway.py
@@ -1,4 +1,4 @@
-"""Run one instance on a platform that keeps all state, until told to stop."""
+"""Run one instance on a platform that stores all state, until stopped."""
 
 from absl import flags
 
@@ -8,12 +8,12 @@
 
 
 def add_flags(values: flags.FlagValues) -> None:
-    """This command takes its settings from the platform alone."""
+    """Define no flags; all settings come from the platform."""
 
 
 def run(invocation: commands.Invocation) -> int:
     """Run the instance that the platform's settings describe."""
-    # Imported late: the other commands need no server.
+    # Imported here, as the other commands do not need the server.
     from vanillayoke.adapter import process
 
     return process.run()
--- a/libs/cli/vanillayoke/cli/management/commands/program.py
+++ b/libs/cli/vanillayoke/cli/management/commands/program.py
@@ -1,4 +1,4 @@
-"""Show one program: its steps, its budget and why it waits."""
+"""Show one program: its steps, its budget and what it waits for."""
 
 from absl import flags
 
@@ -9,7 +9,7 @@
 from vanillayoke.cli import tables
 
 ARGUMENTS = lookups.ARGUMENTS
-_STEPS = ('number', 'kind', 'name', 'state', 'target', 'error')
+_STEP_COLUMNS = ('number', 'kind', 'name', 'state', 'target', 'error')
 
 
 def add_flags(values: flags.FlagValues) -> None:
@@ -18,20 +18,20 @@
 
 
 async def run(invocation: commands.Invocation) -> int:
-    """Ask for one program."""
+    """Query one program."""
     return await lookups.run_lookup(invocation, 'program', format_program)
 
 
-def format_program(answer: operators.Answer) -> str:
-    """Return a program for people."""
-    budget, spent = answer['budget'], answer['spent']
+def format_program(response: operators.Response) -> str:
+    """Return a program as text."""
+    budget, spent = response['budget'], response['spent']
     rows = [(name, spent.get(name), budget[name]) for name in budget]
     parts = [
-        f'Program: {answer["program"]}',
-        f'Waiting for: {answer.get("waiting_for") or "-"}',
+        f'Program: {response["program"]}',
+        f'Waiting for: {response.get("waiting_for") or "-"}',
         '',
         tables.format_table(('BUDGET', 'SPENT', 'LIMIT'), rows),
         '',
-        tables.format_records(_STEPS, answer['steps']),
+        tables.format_records(_STEP_COLUMNS, response['steps']),
     ]
     return '\n'.join(parts)
--- a/libs/cli/vanillayoke/cli/management/commands/programs.py
+++ b/libs/cli/vanillayoke/cli/management/commands/programs.py
@@ -1,4 +1,4 @@
-"""List the programs of all instances, with why they wait."""
+"""List the programs of all instances and what they wait for."""
 
 import typing
 
@@ -28,32 +28,32 @@
 
 
 async def run(invocation: commands.Invocation) -> int:
-    """Ask all instances for programs and merge what they say."""
-    reached = access.read_access(invocation)
-    if reached is None:
+    """Query all instances for their programs and merge the responses."""
+    options = access.read_access(invocation)
+    if options is None:
         return exits.Exit.BAD_INPUT
-    async with reached.open_client() as client:
-        replies = await instances.ask_everywhere(
-            client, reached, 'programs', {}
+    async with options.open_client() as client:
+        outcomes = await instances.query_instances(
+            client, options, 'programs', {}
         )
-    if not isinstance(replies, instances.Replies):
-        return queries.report_failure(invocation, replies)
-    merged = merge_programs(replies.answers.values())
-    answer = {'programs': list(_select(invocation, merged))}
-    shown = queries.show_answer(invocation, answer, _format)
-    return max(shown, queries.report_failures(invocation, replies.failed))
+    if not isinstance(outcomes, instances.InstanceResponses):
+        return queries.report_failure(invocation, outcomes)
+    merged = merge_programs(outcomes.responses.values())
+    response = {'programs': list(_select(invocation, merged))}
+    shown = queries.show_response(invocation, response, _format)
+    return max(shown, queries.report_failures(invocation, outcomes.failed))
 
 
 def merge_programs(
-    answers: typing.Iterable[operators.Answer],
+    responses: typing.Iterable[operators.Response],
 ) -> list[dict[str, typing.Any]]:
-    """Return each program once, in the order of the ids."""
-    found = {
+    """Return each program once, sorted by id."""
+    rows = {
         row['program']: row
-        for answer in answers
-        for row in answer.get('programs', ())
+        for response in responses
+        for row in response.get('programs', ())
     }
-    return [found[program] for program in sorted(found)]
+    return [rows[program] for program in sorted(rows)]
 
 
 def _select(
@@ -69,5 +69,5 @@
             yield row
 
 
-def _format(answer: operators.Answer) -> str:
-    return tables.format_records(_COLUMNS, answer['programs'])
+def _format(response: operators.Response) -> str:
+    return tables.format_records(_COLUMNS, response['programs'])
--- a/libs/cli/vanillayoke/cli/management/commands/schema.py
+++ b/libs/cli/vanillayoke/cli/management/commands/schema.py
@@ -9,7 +9,7 @@
 from vanillayoke.settings import schema
 
 ARGUMENTS = ()
-_MAKERS = {
+_SCHEMA_FACTORIES = {
     'folder': schema.make_folder_schema,
     'process': schema.make_process_schema,
 }
@@ -20,14 +20,14 @@
     flags.DEFINE_enum(
         'kind',
         'folder',
-        list(_MAKERS),
-        'Which files: those of a settings folder or process settings.',
+        list(_SCHEMA_FACTORIES),
+        'Kind of files: those of a settings folder or process settings.',
         flag_values=values,
     )
 
 
 def run(invocation: commands.Invocation) -> int:
     """Write a schema."""
-    made = _MAKERS[invocation.flags.kind]()
-    invocation.print(json.dumps(made, indent=2))
+    schema_document = _SCHEMA_FACTORIES[invocation.flags.kind]()
+    invocation.print(json.dumps(schema_document, indent=2))
     return exits.Exit.OK
--- a/libs/cli/vanillayoke/cli/management/commands/serve.py
+++ b/libs/cli/vanillayoke/cli/management/commands/serve.py
@@ -1,4 +1,4 @@
-"""Run one instance until it is told to stop."""
+"""Run one instance until it is stopped."""
 
 from absl import flags
 
@@ -29,7 +29,7 @@
     reports.warn_of_faults(invocation, loaded.faults)
     if loaded.settings is None:
         return exits.Exit.BAD_INPUT
-    # Imported late: the other commands need no server.
+    # Imported here, as the other commands do not need the server.
     from vanillayoke.node import process
 
     return process.run(loaded.settings)
--- a/libs/cli/vanillayoke/cli/management/commands/show.py
+++ b/libs/cli/vanillayoke/cli/management/commands/show.py
@@ -1,4 +1,4 @@
-"""Show a folder's merged settings and where each value came from."""
+"""Show a folder's merged settings and the origin of each value."""
 
 import json
 import os
@@ -24,7 +24,7 @@
 
 
 def run(invocation: commands.Invocation) -> int:
-    """Show what a folder merges to, also where it has faults."""
+    """Show the merged settings of a folder, even if it has faults."""
     loaded = loading.load_configuration(invocation.arguments[0])
     reports.warn_of_faults(invocation, loaded.faults)
     found = origins.list_origins(loaded.tree)
@@ -56,8 +56,8 @@
         for origin in found
     }
     merged = sources.make_plain(tree)
-    shown = {'settings': merged, 'origins': places}
-    invocation.print(json.dumps(shown, ensure_ascii=False, indent=2))
+    document = {'settings': merged, 'origins': places}
+    invocation.print(json.dumps(document, ensure_ascii=False, indent=2))
 
 
 def _format_place(origin: origins.Origin) -> str:
--- a/libs/cli/vanillayoke/cli/management/commands/status.py
+++ b/libs/cli/vanillayoke/cli/management/commands/status.py
@@ -5,15 +5,15 @@
 from absl import flags
 
 from vanillayoke.cli import access
-from vanillayoke.cli import answers
 from vanillayoke.cli import commands
 from vanillayoke.cli import exits
 from vanillayoke.cli import instances
 from vanillayoke.cli import queries
+from vanillayoke.cli import responses
 from vanillayoke.cli import tables
 
 ARGUMENTS = ()
-_INSTANCES = (
+_INSTANCE_COLUMNS = (
     'instance',
     'zone',
     'state',
@@ -21,7 +21,7 @@
     'shards',
     'programs',
 )
-_TARGETS = ('target', 'kind', 'state', 'running', 'waiting', 'leaving')
+_TARGET_COLUMNS = ('target', 'kind', 'state', 'running', 'waiting', 'leaving')
 
 
 def add_flags(values: flags.FlagValues) -> None:
@@ -30,29 +30,33 @@
 
 
 async def run(invocation: commands.Invocation) -> int:
-    """Ask an instance for the whole, and each for what only it knows."""
-    reached = access.read_access(invocation)
-    if reached is None:
+    """Query one instance for the overview and all for their own rows."""
+    options = access.read_access(invocation)
+    if options is None:
         return exits.Exit.BAD_INPUT
-    async with reached.open_client() as client:
-        first = await queries.ask_first(client, reached.entries, 'status', {})
+    async with options.open_client() as client:
+        first = await queries.query_first_reachable(
+            client, options.entries, 'status', {}
+        )
         if not isinstance(first, dict):
             return queries.report_failure(invocation, first)
-        replies = await instances.ask_everywhere(client, reached, 'status', {})
-    if not isinstance(replies, instances.Replies):
-        return queries.report_failure(invocation, replies)
-    merged = merge_statuses(first, replies.answers.values())
-    shown = queries.show_answer(invocation, merged, format_status)
-    return max(shown, queries.report_failures(invocation, replies.failed))
+        outcomes = await instances.query_instances(
+            client, options, 'status', {}
+        )
+    if not isinstance(outcomes, instances.InstanceResponses):
+        return queries.report_failure(invocation, outcomes)
+    merged = merge_statuses(first, outcomes.responses.values())
+    shown = queries.show_response(invocation, merged, format_status)
+    return max(shown, queries.report_failures(invocation, outcomes.failed))
 
 
 def merge_statuses(
-    first: answers.Status, others: typing.Iterable[answers.Status]
-) -> answers.Status:
-    """Return one instance's view, with what the others say of themselves.
+    first: responses.Status, others: typing.Iterable[responses.Status]
+) -> responses.Status:
+    """Return the first status with the rows that instances give of themselves.
 
-    Only an instance itself gives its configuration version, shards and
-    programs.
+    Only the row of an instance in its own response has its configuration
+    version, shards and programs.
     """
     rows = {row['instance']: row for row in first['instances']}
     for other in others:
@@ -62,15 +66,15 @@
     return {**first, 'instances': [rows[name] for name in sorted(rows)]}
 
 
-def format_status(answer: answers.Status) -> str:
-    """Return the status for people."""
+def format_status(response: responses.Status) -> str:
+    """Return the status as text."""
     parts = [
-        f'Configuration version: {answer["version"]}',
-        f'Store: {_format_store(answer.get("store", {}))}',
+        f'Configuration version: {response["version"]}',
+        f'Store: {_format_store(response.get("store", {}))}',
         '',
-        tables.format_records(_INSTANCES, answer['instances']),
+        tables.format_records(_INSTANCE_COLUMNS, response['instances']),
         '',
-        tables.format_records(_TARGETS, answer['targets']),
+        tables.format_records(_TARGET_COLUMNS, response['targets']),
     ]
     return '\n'.join(parts)
 
--- a/libs/cli/vanillayoke/cli/management/commands/timeline.py
+++ b/libs/cli/vanillayoke/cli/management/commands/timeline.py
@@ -1,4 +1,4 @@
-"""Write the time line of events over all instances."""
+"""Write a timeline of the events of all instances."""
 
 import json
 import typing
@@ -62,33 +62,33 @@
 
 
 async def run(invocation: commands.Invocation) -> int:
-    """Gather events from all instances, merge and write them."""
-    reached = access.read_access(invocation)
-    if reached is None:
+    """Collect events from all instances, merge and write them."""
+    options = access.read_access(invocation)
+    if options is None:
         return exits.Exit.BAD_INPUT
     arguments = {name: invocation.flags[name].value for name in _FILTERS}
-    async with reached.open_client() as client:
-        replies = await instances.ask_everywhere(
-            client, reached, 'timeline', arguments
+    async with options.open_client() as client:
+        outcomes = await instances.query_instances(
+            client, options, 'timeline', arguments
         )
-    if not isinstance(replies, instances.Replies):
-        return queries.report_failure(invocation, replies)
-    status = _write(invocation, replies.answers.values(), arguments)
-    return max(status, queries.report_failures(invocation, replies.failed))
+    if not isinstance(outcomes, instances.InstanceResponses):
+        return queries.report_failure(invocation, outcomes)
+    status = _write(invocation, outcomes.responses.values(), arguments)
+    return max(status, queries.report_failures(invocation, outcomes.failed))
 
 
 def _write(
     invocation: commands.Invocation,
-    answers: typing.Iterable[operators.Answer],
+    responses: typing.Iterable[operators.Response],
     arguments: dict[str, str],
 ) -> int:
-    chosen = 'json' if invocation.flags.json else invocation.flags.format
+    format_name = 'json' if invocation.flags.json else invocation.flags.format
     try:
-        kept = timeline.Filter(**arguments)
-        merged = timeline.merge_timelines(answers, kept)
-        text = _RENDERERS[chosen](merged)
-    except queries.SHAPE_ERRORS as error:
-        return queries.report_shape(invocation, error)
+        event_filter = timeline.Filter(**arguments)
+        merged = timeline.merge_timelines(responses, event_filter)
+        text = _RENDERERS[format_name](merged)
+    except queries.FORMAT_ERRORS as error:
+        return queries.report_unexpected_format(invocation, error)
     if not invocation.flags.output:
         invocation.print(text.rstrip('\n'))
         return exits.Exit.OK
--- a/libs/cli/vanillayoke/cli/management/commands/version.py
+++ b/libs/cli/vanillayoke/cli/management/commands/version.py
@@ -16,7 +16,7 @@
 
 
 def run(invocation: commands.Invocation) -> int:
-    """Show the installed version, or that of the source tree."""
+    """Show the version of the installed package or the source tree."""
     try:
         version = metadata.version('vanillayoke-cli')
     except metadata.PackageNotFoundError:
--- a/libs/cli/vanillayoke/cli/operators.py
+++ b/libs/cli/vanillayoke/cli/operators.py
@@ -1,4 +1,4 @@
-"""Requests of an operator to instances."""
+"""HTTP client for operator requests to instances."""
 
 import typing
 
@@ -7,22 +7,25 @@
 
 from vanillayoke.core import failures
 
-DEFAULT_TIMEOUT = 10.0
-_LARGEST_ANSWER = 64 * 1024 * 1024
-_ERROR_STATUS = 400
+DEFAULT_TIMEOUT_SECONDS = 10.0
+_MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+_MIN_ERROR_STATUS = 400
 
-Answer = dict[str, typing.Any]
+Response = dict[str, typing.Any]
 
 
 class Unreachable(typing.NamedTuple):
-    """An instance gave no answer that can be used."""
+    """An instance sent no response, or none that can be decoded."""
 
     address: str
     reason: str
 
 
 class Refused(typing.NamedTuple):
-    """An instance refused; ``kind`` is one of ``core.failures``."""
+    """An instance refused a request.
+
+    ``kind`` is the value of a ``core.failures.Kind``.
+    """
 
     address: str
     kind: str
@@ -42,7 +45,9 @@
 class OperatorClient:
     """Sends commands with the operator's key; use as a context manager."""
 
-    def __init__(self, key: str, timeout: float = DEFAULT_TIMEOUT) -> None:
+    def __init__(
+        self, key: str, timeout: float = DEFAULT_TIMEOUT_SECONDS
+    ) -> None:
         self._headers = {'Authorization': f'Bearer {key}'}
         self._timeout = aiohttp.ClientTimeout(total=timeout)
         self._session: aiohttp.ClientSession | None = None
@@ -58,9 +63,9 @@
     async def __aexit__(self, *exception: object) -> None:
         await self._session.close()
 
-    async def ask(
+    async def send_command(
         self, address: str, command: str, arguments: dict[str, str]
-    ) -> Answer | Refused | Unreachable:
+    ) -> Response | Refused | Unreachable:
         """Run a command on the instance at an ``IP:PORT``."""
         url = f'http://{address}/operator/v1/{command}'
         body = msgspec.json.encode({'arguments': arguments})
@@ -68,42 +73,44 @@
 
     async def list_addresses(
         self, address: str
-    ) -> Answer | Refused | Unreachable:
-        """Ask an instance which addresses callers may use."""
+    ) -> Response | Refused | Unreachable:
+        """Request the addresses that callers may use."""
         url = f'http://{address}/v1/addresses'
         return await self._request('GET', address, url, None)
 
     async def _request(
         self, method: str, address: str, url: str, body: bytes | None
-    ) -> Answer | Refused | Unreachable:
+    ) -> Response | Refused | Unreachable:
         try:
             async with self._session.request(
                 method, url, data=body, allow_redirects=False
             ) as response:
-                blob = await response.content.read(_LARGEST_ANSWER)
-                return _read_answer(address, response.status, blob)
+                blob = await response.content.read(_MAX_RESPONSE_BYTES)
+                return _decode_response(address, response.status, blob)
         except (aiohttp.ClientError, OSError) as error:
             reason = str(error) or type(error).__name__
             return Unreachable(address, reason)
         except TimeoutError:
-            return Unreachable(address, 'no answer in time')
+            return Unreachable(address, 'request timed out')
 
 
-def _read_answer(
+def _decode_response(
     address: str, status: int, blob: bytes
-) -> Answer | Refused | Unreachable:
+) -> Response | Refused | Unreachable:
     try:
-        if status >= _ERROR_STATUS:
+        if status >= _MIN_ERROR_STATUS:
             error = msgspec.json.decode(blob, type=_ErrorBody).error
             text = f'{error.text} {error.reason}'.strip()
             return Refused(address, error.kind, text or f'status {status}')
-        return msgspec.json.decode(blob, type=Answer)
+        return msgspec.json.decode(blob, type=Response)
     except msgspec.DecodeError:
-        return Unreachable(address, f'status {status}, not our protocol')
+        return Unreachable(
+            address, f'status {status}, unexpected response format'
+        )
 
 
 def is_bad_input(refused: Refused) -> bool:
-    """Tell whether a refusal was the operator's own mistake."""
+    """Return whether a refusal is due to the operator's input or key."""
     return refused.kind in (
         failures.Kind.BAD_REQUEST.value,
         failures.Kind.UNAUTHENTICATED.value,
--- a/libs/cli/vanillayoke/cli/queries.py
+++ b/libs/cli/vanillayoke/cli/queries.py
@@ -1,4 +1,4 @@
-"""Commands that ask one instance and show its answer."""
+"""Commands that query one instance and show its response."""
 
 import json
 import typing
@@ -10,15 +10,15 @@
 from vanillayoke.cli import exits
 from vanillayoke.cli import operators
 
-# What reading an answer raises where an instance of another release gives
-# it in another shape.
-SHAPE_ERRORS = (KeyError, TypeError, AttributeError, ValueError)
+# Raised when a response from an instance of another release has a different
+# format.
+FORMAT_ERRORS = (KeyError, TypeError, AttributeError, ValueError)
 
-Render = typing.Callable[[operators.Answer], str]
+Render = typing.Callable[[operators.Response], str]
 
 
 class Query(typing.NamedTuple):
-    """What to ask and how to show the answer to people."""
+    """A command to send, and how to render the response as text."""
 
     command: str
     arguments: dict[str, str]
@@ -26,51 +26,54 @@
 
 
 def add_flags(values: flags.FlagValues) -> None:
-    """Define the flags of a command that asks an instance."""
+    """Define the flags of a command that queries an instance."""
     access.add_flags(values)
     add_json_flag(values)
 
 
 def add_json_flag(values: flags.FlagValues) -> None:
-    """Define the flag for output to scripts."""
+    """Define the flag for JSON output."""
     flags.DEFINE_bool(
         'json', False, 'Write JSON for scripts.', flag_values=values
     )
 
 
 async def run_query(invocation: commands.Invocation, query: Query) -> int:
-    """Ask the first instance that answers and show what it says."""
-    reached = access.read_access(invocation)
-    if reached is None:
+    """Query the first reachable entry and show its response."""
+    options = access.read_access(invocation)
+    if options is None:
         return exits.Exit.BAD_INPUT
-    async with reached.open_client() as client:
-        answer = await ask_first(
-            client, reached.entries, query.command, query.arguments
+    async with options.open_client() as client:
+        response = await query_first_reachable(
+            client, options.entries, query.command, query.arguments
         )
-    if not isinstance(answer, dict):
-        return report_failure(invocation, answer)
-    return show_answer(invocation, answer, query.render)
+    if not isinstance(response, dict):
+        return report_failure(invocation, response)
+    return show_response(invocation, response, query.render)
 
 
-async def ask_first(
+async def query_first_reachable(
     client: operators.OperatorClient,
     entries: typing.Sequence[str],
     command: str,
     arguments: dict[str, str],
-) -> operators.Answer | operators.Refused | operators.Unreachable:
-    """Return the answer of the first entry that can be reached."""
+) -> operators.Response | operators.Refused | operators.Unreachable:
+    """Return the response or refusal of the first reachable entry.
+
+    If none is reachable, return the failure of the last entry.
+    """
     for entry in entries:
-        answer = await client.ask(entry, command, arguments)
-        if not isinstance(answer, operators.Unreachable):
-            return answer
-    return answer
+        response = await client.send_command(entry, command, arguments)
+        if not isinstance(response, operators.Unreachable):
+            return response
+    return response
 
 
 def report_failure(
     invocation: commands.Invocation,
     failed: operators.Refused | operators.Unreachable,
 ) -> int:
-    """Say why there is no answer; return the exit status."""
+    """Print why a request failed; return the exit status."""
     match failed:
         case operators.Unreachable(address, reason):
             invocation.warn(f'{address} cannot be reached: {reason}')
@@ -82,17 +85,19 @@
     return exits.Exit.FAILED
 
 
-def show_answer(
-    invocation: commands.Invocation, answer: operators.Answer, render: Render
+def show_response(
+    invocation: commands.Invocation,
+    response: operators.Response,
+    render: Render,
 ) -> int:
-    """Write an answer as JSON or for people."""
+    """Print a response as JSON or as rendered text."""
     if invocation.flags.json:
-        invocation.print(json.dumps(answer, ensure_ascii=False, indent=2))
+        invocation.print(json.dumps(response, ensure_ascii=False, indent=2))
         return exits.Exit.OK
     try:
-        text = render(answer)
-    except SHAPE_ERRORS as error:
-        return report_shape(invocation, error)
+        text = render(response)
+    except FORMAT_ERRORS as error:
+        return report_unexpected_format(invocation, error)
     invocation.print(text)
     return exits.Exit.OK
 
@@ -101,12 +106,14 @@
     invocation: commands.Invocation,
     failed: typing.Iterable[operators.Refused | operators.Unreachable],
 ) -> int:
-    """Say what is missing from a merged answer; return the exit status."""
-    statuses = [report_failure(invocation, one) for one in failed]
+    """Print the failed requests; return the highest exit status."""
+    statuses = [report_failure(invocation, failure) for failure in failed]
     return max(statuses, default=exits.Exit.OK)
 
 
-def report_shape(invocation: commands.Invocation, error: Exception) -> int:
-    """Say that an answer is not understood; return the exit status."""
-    invocation.warn(f'The answer is not understood: {error!r}')
+def report_unexpected_format(
+    invocation: commands.Invocation, error: Exception
+) -> int:
+    """Print that a response is malformed; return the exit status."""
+    invocation.warn(f'Unexpected response format: {error!r}')
     return exits.Exit.FAILED
--- a/libs/cli/vanillayoke/cli/reports.py
+++ b/libs/cli/vanillayoke/cli/reports.py
@@ -1,4 +1,4 @@
-"""How faults in settings and failures of the store are shown."""
+"""Messages about faults in settings and failures of the store."""
 
 import typing
 
@@ -21,14 +21,14 @@
         invocation.warn(fault.describe())
 
 
-def report_store(
+def report_store_failure(
     invocation: commands.Invocation, failure: failures.Failure
 ) -> int:
-    """Say what a failure of the store means; return the exit status."""
+    """Print a failure of the store; return the exit status."""
     invocation.warn(f'{failure.answer.text} ({failure.reason})')
     if failure.kind is failures.Kind.STORE_UNCERTAIN:
         invocation.warn(
-            'The change may have been accepted all the same: see diff.'
+            'The change may still have been accepted: check with diff.'
         )
     if failure.kind in _STORE_KINDS:
         return exits.Exit.NOT_REACHABLE
--- a/libs/cli/vanillayoke/cli/answers.py
+++ b/libs/cli/vanillayoke/cli/responses.py
@@ -1,10 +1,13 @@
-"""The shapes of instances' answers to operators."""
+"""Types of the responses of instances to operator requests."""
 
 import typing
 
 
 class InstanceRow(typing.TypedDict, total=False):
-    """One instance as another sees it; ``address`` is for callers."""
+    """One instance as reported by an instance.
+
+    Callers reach the instance under ``address``.
+    """
 
     instance: str
     zone: str
@@ -16,7 +19,7 @@
 
 
 class TargetRow(typing.TypedDict, total=False):
-    """One target and its calls."""
+    """One target with the numbers of its calls."""
 
     target: str
     kind: str
@@ -27,7 +30,7 @@
 
 
 class Status(typing.TypedDict, total=False):
-    """The answer to ``status``."""
+    """The response to ``status``."""
 
     instances: list[InstanceRow]
     targets: list[TargetRow]
--- a/libs/cli/vanillayoke/cli/stores.py
+++ b/libs/cli/vanillayoke/cli/stores.py
@@ -1,4 +1,4 @@
-"""How commands reach the platform's table and object store."""
+"""Access of commands to the platform's table and object store."""
 
 import asyncio
 import contextlib
@@ -17,21 +17,21 @@
 from vanillayoke.settings import processes
 
 CALLER = 'operator'
-LONGEST_REQUEST = 3.0
+MAX_REQUEST_SECONDS = 3.0
 VARIABLES = {
     'table': 'VANILLAYOKE_TABLE',
     'objects': 'VANILLAYOKE_OBJECTS',
 }
 
 
-class _BadStores(typing.NamedTuple):
-    """The flags do not say where the services are."""
+class _InvalidOptions(typing.NamedTuple):
+    """The flags and environment do not give valid base URLs."""
 
     text: str
 
 
 class Stores(typing.NamedTuple):
-    """Base URLs; ``timeout`` bounds repeated requests, in seconds."""
+    """Base URLs; ``timeout`` in seconds includes all retries."""
 
     table: str
     objects: str
@@ -41,25 +41,29 @@
     async def open_publisher(
         self,
     ) -> typing.AsyncIterator[publishing.Publisher]:
-        """Give a publisher and close its connections afterwards."""
+        """Yield a publisher and close its connections afterwards."""
         service = timers.LoopTimers(asyncio.get_running_loop())
-        limit = min(self.timeout, LONGEST_REQUEST)
-        opened = [
+        limit = min(self.timeout, MAX_REQUEST_SECONDS)
+        connections = [
             links.Link(links.LinkSettings(url, CALLER, timeout=limit), service)
             for url in (self.table, self.objects)
         ]
-        shared = (
+        retry_arguments = (
             service,
             random.SystemRandom(),
             attempts.RetrySettings(deadline=self.timeout),
         )
         try:
             yield publishing.Publisher(
-                retrying.RetryingTable(http.HttpTable(opened[0]), *shared),
-                retrying.RetryingObjects(http.HttpObjects(opened[1]), *shared),
+                retrying.RetryingTable(
+                    http.HttpTable(connections[0]), *retry_arguments
+                ),
+                retrying.RetryingObjects(
+                    http.HttpObjects(connections[1]), *retry_arguments
+                ),
             )
         finally:
-            for link in opened:
+            for link in connections:
                 await link.close()
 
 
@@ -82,32 +86,34 @@
     flags.DEFINE_float(
         'store_timeout',
         10.0,
-        'Seconds after which no more is tried to reach the store.',
+        'Seconds after which requests to the store are no longer retried.',
         lower_bound=0.01,
         flag_values=values,
     )
 
 
 def read_stores(invocation: commands.Invocation) -> Stores | None:
-    """Return where the services are, from flags and environment.
+    """Return the base URLs from flags and environment.
 
-    Where these do not tell, say so and return ``None``.
+    If they are missing or invalid, print the reason and return ``None``.
     """
-    found = _find_stores(invocation)
-    if isinstance(found, Stores):
-        return found
-    invocation.warn(found.text)
+    options = _parse_options(invocation)
+    if isinstance(options, Stores):
+        return options
+    invocation.warn(options.text)
     return None
 
 
-def _find_stores(invocation: commands.Invocation) -> Stores | _BadStores:
+def _parse_options(
+    invocation: commands.Invocation,
+) -> Stores | _InvalidOptions:
     urls = {}
     for name, variable in VARIABLES.items():
         url = invocation.flags[name].value
         urls[name] = url or invocation.environ.get(variable, '')
         if not urls[name]:
-            return _BadStores(f'Give --{name}=URL or set {variable}.')
+            return _InvalidOptions(f'Give --{name}=URL or set {variable}.')
         problem = processes.find_url_problem(urls[name])
         if problem:
-            return _BadStores(f'--{name}: {problem}')
+            return _InvalidOptions(f'--{name}: {problem}')
     return Stores(**urls, timeout=invocation.flags.store_timeout)
--- a/libs/cli/vanillayoke/cli/tables.py
+++ b/libs/cli/vanillayoke/cli/tables.py
@@ -1,4 +1,4 @@
-"""Tables for people."""
+"""Text tables for the terminal."""
 
 import typing
 
@@ -7,9 +7,12 @@
     headers: typing.Sequence[str],
     rows: typing.Iterable[typing.Sequence[object]],
 ) -> str:
-    """Return rows under headers, in columns; numbers stand to the right."""
+    """Return rows as a text table; numeric columns are right-aligned."""
     table = [tuple(row) for row in rows]
-    texts = [tuple(headers), *(tuple(map(_show, row)) for row in table)]
+    texts = [
+        tuple(headers),
+        *(tuple(map(_format_value, row)) for row in table),
+    ]
     widths = [max(map(len, column)) for column in zip(*texts, strict=True)]
     numeric = [
         bool(table) and all(_is_number(row[i]) for row in table)
@@ -30,10 +33,12 @@
 
 def format_fields(fields: typing.Mapping[str, typing.Any]) -> str:
     """Return ``name: value`` lines."""
-    return '\n'.join(f'{name}: {_show(fields[name])}' for name in fields)
+    return '\n'.join(
+        f'{name}: {_format_value(fields[name])}' for name in fields
+    )
 
 
-def _show(value: object) -> str:
+def _format_value(value: object) -> str:
     match value:
         case None | '':
             return '-'
@@ -42,11 +47,12 @@
         case float():
             return f'{value:g}'
         case dict():
-            return ', '.join(f'{key} {_show(value[key])}' for key in value)
+            return ', '.join(
+                f'{key} {_format_value(value[key])}' for key in value
+            )
         case list() | tuple():
-            return ', '.join(map(_show, value)) or '-'
-    # A line end or escape sequence in a name would break the table or the
-    # operator's terminal.
+            return ', '.join(map(_format_value, value)) or '-'
+    # Escape line breaks and terminal control sequences.
     text = str(value)
     return text if text.isprintable() else ascii(text)[1:-1]
 
--- a/tests/cli/runs.py
+++ b/tests/cli/cli_fixtures.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: the command line in this process, and instances."""
+"""Fixtures: the command line within this process, and fake services."""
 
 import inspect
 import io
@@ -20,8 +20,8 @@
 KEY = 'operator-key-of-tests'
 
 
-class Ran(typing.NamedTuple):
-    """A command that has ended."""
+class CommandResult(typing.NamedTuple):
+    """Exit status and output of a command."""
 
     status: int
     output: str
@@ -29,39 +29,41 @@
 
 
 class CommandLine:
-    """Runs commands; ``environ`` is what they see."""
+    """Runs commands with ``environ`` as their environment."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self.folder = folders.Folder(path)
         self.environ: dict[str, str] = {}
 
-    def run(self, *words: object) -> Ran:
-        """Run a command that needs no loop."""
+    def run(self, *words: object) -> CommandResult:
+        """Run a synchronous command."""
         output, errors = io.StringIO(), io.StringIO()
         streams = main.Streams(output, errors, self.environ)
         status = main.start([str(word) for word in words], streams)
-        return Ran(status, output.getvalue(), errors.getvalue())
+        return CommandResult(status, output.getvalue(), errors.getvalue())
 
-    async def wait(self, *words: object) -> Ran:
-        """Run a command to its end on the running loop."""
+    async def run_async(self, *words: object) -> CommandResult:
+        """Run a command to completion on the running loop."""
         output, errors = io.StringIO(), io.StringIO()
         streams = main.Streams(output, errors, self.environ)
         status = main.start([str(word) for word in words], streams)
         if inspect.iscoroutine(status):
             status = await status
-        return Ran(status, output.getvalue(), errors.getvalue())
+        return CommandResult(status, output.getvalue(), errors.getvalue())
 
 
-class Instance:
-    """An instance's operator interface with prepared answers."""
+class FakeInstance:
+    """The operator interface of an instance, with prepared responses."""
 
-    def __init__(self, name: str, fleet: dict[str, 'Instance']) -> None:
+    def __init__(
+        self, name: str, instances_by_name: dict[str, 'FakeInstance']
+    ) -> None:
         self.name = name
         self.version = 0
         self.address = ''
-        self.answers: dict[str, typing.Any] = {}
-        self.asked: list[tuple[str, dict[str, str]]] = []
-        self._fleet = fleet
+        self.responses: dict[str, typing.Any] = {}
+        self.received: list[tuple[str, dict[str, str]]] = []
+        self._fleet = instances_by_name
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
@@ -85,24 +87,24 @@
             return _refuse(401, 'unauthenticated')
         command = request.match_info['command']
         body = msgspec.json.decode(await request.read())
-        self.asked.append((command, body['arguments']))
+        self.received.append((command, body['arguments']))
         if command == 'status':
             return _reply(self._make_status())
-        if command not in self.answers:
+        if command not in self.responses:
             return _refuse(404, 'not_found')
-        return _reply(self.answers[command])
+        return _reply(self.responses[command])
 
     def _make_status(self) -> dict[str, typing.Any]:
         rows = [self._describe(other) for other in self._fleet.values()]
         return {
             'instances': rows,
-            'targets': self.answers.get('targets', []),
+            'targets': self.responses.get('targets', []),
             'version': self.version,
             'store': {'available': True},
         }
 
-    def _describe(self, other: 'Instance') -> dict[str, typing.Any]:
-        """Return a row; as in the product, an instance counts only itself."""
+    def _describe(self, other: 'FakeInstance') -> dict[str, typing.Any]:
+        """Return a row, with counts only for this instance itself."""
         row = {
             'instance': other.name,
             'zone': 'a',
@@ -136,15 +138,15 @@
 
 
 class Platform(typing.NamedTuple):
-    """The platform's services over HTTP, and the memory behind them."""
+    """The platform's services over HTTP and their in-memory storage."""
 
     memory: platform_memory.MemoryPlatform
     url: str
 
 
 @fixtures.fixture
-def line():
-    """Give a command line with a sound settings folder."""
+def command_line():
+    """Yield a command line with a valid settings folder."""
     with tempfile.TemporaryDirectory() as path:
         made = CommandLine(pathlib.Path(path))
         made.folder.write('10-base.json', folders.GOOD)
@@ -153,28 +155,28 @@
 
 
 @fixtures.fixture
-def instances(loop, line):
-    """Give two listening instances, the first as the command's entry."""
-    fleet: dict[str, Instance] = {}
-    made = [Instance(name, fleet) for name in ('i-1', 'i-2')]
+def instances(loop, command_line):
+    """Yield two listening instances; the first is the entry address."""
+    instances_by_name: dict[str, FakeInstance] = {}
+    made = [FakeInstance(name, instances_by_name) for name in ('i-1', 'i-2')]
     for instance in made:
         loop.run_until_complete(instance.start())
-    line.environ['VANILLAYOKE_ENTRY'] = made[0].address
+    command_line.environ['VANILLAYOKE_ENTRY'] = made[0].address
     yield made
     for instance in made:
         loop.run_until_complete(instance.stop())
 
 
 @fixtures.fixture
-def platform(loop, line):
-    """Give a platform that the commands reach over HTTP."""
+def platform(loop, command_line):
+    """Yield a platform that the commands reach over HTTP."""
     service = timers.LoopTimers(loop)
     memory = platform_memory.MemoryPlatform(service, random.Random(1))
     runner, address = loop.run_until_complete(
         _listen(platform_http.build(memory))
     )
     url = f'http://{address}'
-    line.environ['VANILLAYOKE_TABLE'] = url
-    line.environ['VANILLAYOKE_OBJECTS'] = url
+    command_line.environ['VANILLAYOKE_TABLE'] = url
+    command_line.environ['VANILLAYOKE_OBJECTS'] = url
     yield Platform(memory, url)
     loop.run_until_complete(runner.cleanup())
--- a/tests/cli/test_docs.py
+++ b/tests/cli/test_docs.py
@@ -1,4 +1,4 @@
-"""Tests that the pages for operators agree with the program."""
+"""Tests that the documentation pages agree with the code."""
 
 import pathlib
 import re
@@ -32,15 +32,15 @@
         case.assertEqual(page, file.read_text(), module.__name__)
 
 
-def test_links_between_pages_lead_somewhere(case):
+def test_links_between_pages_have_targets(case):
     for page in _list_pages():
         for link in _LINK.findall(page.read_text()):
             if '://' not in link:
                 case.assertTrue((page.parent / link).exists(), (page, link))
 
 
-def test_commands_on_pages_can_be_given(case):
-    found = 0
+def test_commands_on_pages_can_be_parsed(case):
+    count = 0
     for page in _list_pages():
         for line in _COMMAND.findall(page.read_text()):
             name, *words = shlex.split(line)
@@ -48,11 +48,11 @@
             case.assertIsNotNone(command, (page, line))
             if '[--flags]' in words:
                 continue
-            found += 1
+            count += 1
             arguments = command.make_flags()([name, *words])[1:]
-            wanted = len(command.module.ARGUMENTS)
-            case.assertEqual(wanted, len(arguments), (page, line))
-    case.assertGreater(found, 10)
+            expected = len(command.module.ARGUMENTS)
+            case.assertEqual(expected, len(arguments), (page, line))
+    case.assertGreater(count, 10)
 
 
 def test_examples_have_no_faults(case):
--- a/tests/cli/test_walk.py
+++ b/tests/cli/test_installation_page.py
@@ -1,7 +1,7 @@
-"""A new operator's walk: the commands of the installation page, as given.
+"""Runs the commands of the installation page as written there.
 
-Only the ports, the files' places and the program's id are put in; after each
-command that goes on in the background the test waits for its port.
+Only ports, file paths and the program's id are replaced. After each background
+command the script waits until its port accepts connections.
 """
 
 import os
@@ -17,9 +17,9 @@
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 _PAGE = _ROOT / 'docs' / 'howto' / 'install.md'
-_TIMEOUT = 120
+_TIMEOUT_SECONDS = 120
 _PORTS = (8500, 9001, 9002, 7001, 7101)
-_HEAD = """\
+_SCRIPT_HEAD = """\
 set -eu
 shopt -s expand_aliases
 trap 'kill $(jobs -p) 2>/dev/null || true' EXIT
@@ -27,13 +27,13 @@
   until (exec 3<>/dev/tcp/127.0.0.1/$1) 2>/dev/null; do sleep 0.1; done
 }
 """
-# The instance is the fourth job; its status is what the page promises.
-_TAIL = 'wait %4\necho "the instance ended with $?"\n'
+# The instance is the fourth background job.
+_SCRIPT_TAIL = 'wait %4\necho "the instance ended with $?"\n'
 
 
 @fixtures.fixture
 def folder():
-    """Give a folder with a copy of the examples."""
+    """Yield a folder with a copy of the examples."""
     with tempfile.TemporaryDirectory() as path:
         shutil.copytree(_ROOT / 'examples', f'{path}/examples')
         yield pathlib.Path(path)
@@ -41,17 +41,17 @@
 
 @fixtures.fixture
 def ports():
-    """Map the ports of the page to free ones."""
+    """Return free ports by the ports that the page names."""
     sockets = [socket.socket() for _ in _PORTS]
-    for one in sockets:
-        one.bind(('127.0.0.1', 0))
-    found = [one.getsockname()[1] for one in sockets]
-    for one in sockets:
-        one.close()
-    return dict(zip(_PORTS, found, strict=True))
+    for bound in sockets:
+        bound.bind(('127.0.0.1', 0))
+    free = [bound.getsockname()[1] for bound in sockets]
+    for bound in sockets:
+        bound.close()
+    return dict(zip(_PORTS, free, strict=True))
 
 
-def _put_in_ports(text, ports):
+def _replace_ports(text, ports):
     def replace(match):
         return f'127.0.0.1:{ports[int(match[1])]}'
 
@@ -84,7 +84,7 @@
     body = body.replace('examples/', f'{folder}/examples/')
     body = body.replace('timeline.html', f'{folder}/timeline.html')
     body = body.replace('instance.log', f'{folder}/instance.log')
-    return f'{_HEAD}{_put_in_ports(body, ports)}\n{_TAIL}'
+    return f'{_SCRIPT_HEAD}{_replace_ports(body, ports)}\n{_SCRIPT_TAIL}'
 
 
 def _run(script):
@@ -97,17 +97,17 @@
         start_new_session=True,
     )
     try:
-        output, _ = process.communicate(timeout=_TIMEOUT)
+        output, _ = process.communicate(timeout=_TIMEOUT_SECONDS)
     except subprocess.TimeoutExpired:
         os.killpg(process.pid, signal.SIGKILL)
         output, _ = process.communicate()
     return process.returncode, output
 
 
-def test_walk_from_the_installation_to_a_drained_instance(case, folder, ports):
+def test_commands_from_installation_to_drain_succeed(case, folder, ports):
     for file in folder.glob('examples/**/*.json'):
         if file.parent.name in ('examples', 'first'):
-            file.write_text(_put_in_ports(file.read_text(), ports))
+            file.write_text(_replace_ports(file.read_text(), ports))
     status, output = _run(_make_script(folder, ports))
     case.assertEqual(0, status, output)
     for text in (
--- a/tests/cli/test_remote.py
+++ b/tests/cli/test_remote.py
@@ -1,8 +1,8 @@
-"""Tests of commands that ask instances, and of apply and diff."""
+"""Tests of commands that query instances, and of apply and diff."""
 
 import json
 
-from tests.cli import runs
+from tests.cli import cli_fixtures
 from tests.settings import broken
 from vanillayoke.testing import fixtures
 
@@ -26,117 +26,131 @@
 
 
 @fixtures.on_real_loop
-async def test_status_shows_instances_and_targets(case, line, instances):
-    instances[0].answers['targets'] = [
+async def test_status_shows_instances_and_targets(
+    case, command_line, instances
+):
+    instances[0].responses['targets'] = [
         {'target': 'engine-1', 'kind': 'engine', 'leaving': True}
     ]
-    ran = await line.wait('status')
-    case.assertEqual((0, ''), (ran.status, ran.errors))
-    case.assertIn('Configuration version: 0', ran.output)
-    case.assertRegex(ran.output, r'i-2 +a +alive +0 +4 +2')
-    case.assertRegex(ran.output, r'engine-1 +engine +- +- +- +yes')
-    shown = json.loads((await line.wait('status', '--json')).output)
+    result = await command_line.run_async('status')
+    case.assertEqual((0, ''), (result.status, result.errors))
+    case.assertIn('Configuration version: 0', result.output)
+    case.assertRegex(result.output, r'i-2 +a +alive +0 +4 +2')
+    case.assertRegex(result.output, r'engine-1 +engine +- +- +- +yes')
+    shown = json.loads(
+        (await command_line.run_async('status', '--json')).output
+    )
     case.assertEqual(2, len(shown['instances']))
 
 
 @fixtures.on_real_loop
 async def test_status_names_instances_that_do_not_answer(
-    case, line, instances
+    case, command_line, instances
 ):
     await instances[1].stop()
-    ran = await line.wait('status')
-    case.assertEqual(4, ran.status)
-    case.assertRegex(ran.output, r'i-2 +a +alive +- +- +-')
-    case.assertIn(instances[1].address, ran.errors)
+    result = await command_line.run_async('status')
+    case.assertEqual(4, result.status)
+    case.assertRegex(result.output, r'i-2 +a +alive +- +- +-')
+    case.assertIn(instances[1].address, result.errors)
 
 
 @fixtures.on_real_loop
-async def test_dead_entry_is_passed_over(case, line, instances):
+async def test_unreachable_entry_is_skipped(case, command_line, instances):
     entries = f'127.0.0.1:1,{instances[0].address}'
-    ran = await line.wait('status', f'--entry={entries}')
-    case.assertEqual(0, ran.status)
-    ran = await line.wait('status', '--entry=127.0.0.1:1')
-    case.assertEqual(4, ran.status)
+    result = await command_line.run_async('status', f'--entry={entries}')
+    case.assertEqual(0, result.status)
+    result = await command_line.run_async('status', '--entry=127.0.0.1:1')
+    case.assertEqual(4, result.status)
 
 
 @fixtures.on_real_loop
-async def test_access_is_checked(case, line, instances):
-    line.environ['VANILLAYOKE_OPERATOR_KEY'] = 'wrong'
-    ran = await line.wait('status')
-    case.assertEqual(2, ran.status)
-    case.assertIn('unauthenticated', ran.errors)
-    key = line.folder.write('.key', f'{runs.KEY}\n')
-    ran = await line.wait('status', f'--operator_key_file={key}')
-    case.assertEqual(0, ran.status)
-    line.environ.clear()
+async def test_access_is_checked(case, command_line, instances):
+    command_line.environ['VANILLAYOKE_OPERATOR_KEY'] = 'wrong'
+    result = await command_line.run_async('status')
+    case.assertEqual(2, result.status)
+    case.assertIn('unauthenticated', result.errors)
+    key = command_line.folder.write('.key', f'{cli_fixtures.KEY}\n')
+    result = await command_line.run_async(
+        'status', f'--operator_key_file={key}'
+    )
+    case.assertEqual(0, result.status)
+    command_line.environ.clear()
     for words in (
         ['status'],
         ['status', '--entry=localhost:80'],
         ['status', f'--entry={instances[0].address}'],
-        ['diff', line.folder.path],
+        ['diff', command_line.folder.path],
     ):
-        case.assertEqual(2, (await line.wait(*words)).status, words)
+        case.assertEqual(
+            2, (await command_line.run_async(*words)).status, words
+        )
 
 
 @fixtures.on_real_loop
-async def test_programs_of_all_instances_are_merged(case, line, instances):
+async def test_programs_of_all_instances_are_merged(
+    case, command_line, instances
+):
     for number, instance in enumerate(instances):
-        instance.answers['programs'] = {
+        instance.responses['programs'] = {
             'programs': [
                 {'program': f'prg-{number}', 'client': f'c{number}'},
                 {'program': 'prg-9', 'client': 'c9'},
             ]
         }
-    ran = await line.wait('programs', '--json')
-    listed = [row['program'] for row in json.loads(ran.output)['programs']]
+    result = await command_line.run_async('programs', '--json')
+    listed = [row['program'] for row in json.loads(result.output)['programs']]
     case.assertEqual(['prg-0', 'prg-1', 'prg-9'], listed)
-    ran = await line.wait('programs', '--client=c1')
-    case.assertIn('prg-1', ran.output)
-    case.assertNotIn('prg-9', ran.output)
+    result = await command_line.run_async('programs', '--client=c1')
+    case.assertIn('prg-1', result.output)
+    case.assertNotIn('prg-9', result.output)
 
 
 @fixtures.on_real_loop
-async def test_programs_of_a_dead_instance_are_missed(case, line, instances):
-    instances[0].answers['programs'] = {'programs': []}
+async def test_unreachable_instance_is_reported_with_programs(
+    case, command_line, instances
+):
+    instances[0].responses['programs'] = {'programs': []}
     await instances[1].stop()
-    ran = await line.wait('programs')
-    case.assertEqual(4, ran.status)
-    case.assertIn(instances[1].address, ran.errors)
+    result = await command_line.run_async('programs')
+    case.assertEqual(4, result.status)
+    case.assertIn(instances[1].address, result.errors)
 
 
 @fixtures.on_real_loop
-async def test_program_is_found_on_its_owner(case, line, instances):
-    instances[1].answers['program'] = _PROGRAM
-    ran = await line.wait('program', 'prg-1')
-    case.assertEqual(0, ran.status)
-    case.assertIn('Waiting for: capacity', ran.output)
-    case.assertRegex(ran.output, r'tokens +40 +100')
-    case.assertIn(('program', {'program': 'prg-1'}), instances[1].asked)
+async def test_program_is_found_on_its_owner(case, command_line, instances):
+    instances[1].responses['program'] = _PROGRAM
+    result = await command_line.run_async('program', 'prg-1')
+    case.assertEqual(0, result.status)
+    case.assertIn('Waiting for: capacity', result.output)
+    case.assertRegex(result.output, r'tokens +40 +100')
+    case.assertIn(('program', {'program': 'prg-1'}), instances[1].received)
 
 
 @fixtures.on_real_loop
-async def test_absent_program_is_told_from_an_unreachable_owner(
-    case, line, instances
+async def test_absent_program_is_distinguished_from_an_unreachable_owner(
+    case, command_line, instances
 ):
-    """An operator believes that a program is lost.
-
-    Its owner cannot be reached; the others truthfully say that they have
-    no such program, and the command passes that on as the answer.
-    """
-    case.assertEqual(1, (await line.wait('program', 'prg-1')).status)
+    """A program is reported as not found while its owner is unreachable."""
+    case.assertEqual(
+        1, (await command_line.run_async('program', 'prg-1')).status
+    )
     await instances[1].stop()
-    case.assertEqual(4, (await line.wait('program', 'prg-1')).status)
+    case.assertEqual(
+        4, (await command_line.run_async('program', 'prg-1')).status
+    )
 
 
 @fixtures.on_real_loop
-async def test_explain_shows_what_was_weighed(case, line, instances):
-    instances[0].answers['explain'] = {
+async def test_explain_shows_the_candidate_targets(
+    case, command_line, instances
+):
+    instances[0].responses['explain'] = {
         'program': 'prg-1',
         'placements': [_PLACEMENT],
     }
-    ran = await line.wait('explain', 'prg-1')
-    case.assertIn('Call 3 ran on engine-1.', ran.output)
-    case.assertRegex(ran.output, r'engine-2 +1\.5 +0 +cold')
+    result = await command_line.run_async('explain', 'prg-1')
+    case.assertIn('Call 3 ran on engine-1.', result.output)
+    case.assertRegex(result.output, r'engine-2 +1\.5 +0 +cold')
 
 
 def _make_event(instance, time):
@@ -152,106 +166,126 @@
 
 
 @fixtures.on_real_loop
-async def test_timeline_merges_all_instances(case, line, instances):
+async def test_timeline_merges_all_instances(case, command_line, instances):
     for instance, times in zip(instances, ((1, 4), (2, 3)), strict=True):
-        instance.answers['timeline'] = {
+        instance.responses['timeline'] = {
             'instance': instance.name,
             'events': [_make_event(instance.name, time) for time in times],
         }
-    ran = await line.wait('timeline', '--json', '--program=prg-1')
-    names = [event['name'] for event in json.loads(ran.output)['events']]
+    result = await command_line.run_async(
+        'timeline', '--json', '--program=prg-1'
+    )
+    names = [event['name'] for event in json.loads(result.output)['events']]
     case.assertEqual([f'event-{time}' for time in (1, 2, 3, 4)], names)
     for form, start in (('html', '<!DOCTYPE'), ('trace', '{"traceEvents"')):
-        file = line.folder.path / form
-        ran = await line.wait(
+        file = command_line.folder.path / form
+        result = await command_line.run_async(
             'timeline', f'--format={form}', f'--output={file}'
         )
-        case.assertEqual((0, ''), (ran.status, ran.output))
+        case.assertEqual((0, ''), (result.status, result.output))
         case.assertTrue(file.read_text().startswith(start))
-    text = (await line.wait('timeline', '--instance=i-2')).output
+    text = (await command_line.run_async('timeline', '--instance=i-2')).output
     case.assertEqual(2, text.count('i-2'))
     case.assertNotIn('i-1', text)
 
 
 @fixtures.on_real_loop
-async def test_drain_asks_the_named_instance_only(case, line, instances):
-    instances[1].answers['drain'] = {'state': 'draining'}
-    ran = await line.wait('drain', 'i-2')
-    case.assertEqual(0, ran.status)
-    case.assertIn(('drain', {'instance': 'i-2'}), instances[1].asked)
-    case.assertNotIn('drain', [name for name, _ in instances[0].asked])
-    ran = await line.wait('drain', 'i-9')
-    case.assertEqual(2, ran.status)
-    case.assertIn('i-1, i-2', ran.errors)
+async def test_drain_is_sent_to_the_named_instance_only(
+    case, command_line, instances
+):
+    instances[1].responses['drain'] = {'state': 'draining'}
+    result = await command_line.run_async('drain', 'i-2')
+    case.assertEqual(0, result.status)
+    case.assertIn(('drain', {'instance': 'i-2'}), instances[1].received)
+    case.assertNotIn('drain', [name for name, _ in instances[0].received])
+    result = await command_line.run_async('drain', 'i-9')
+    case.assertEqual(2, result.status)
+    case.assertIn('i-1, i-2', result.errors)
 
 
 @fixtures.on_real_loop
-async def test_answer_of_another_shape_is_a_failure(case, line, instances):
-    instances[0].answers['explain'] = {'surprise': 1}
-    case.assertEqual(1, (await line.wait('explain', 'prg-1')).status)
+async def test_unexpected_response_format_is_a_failure(
+    case, command_line, instances
+):
+    instances[0].responses['explain'] = {'surprise': 1}
+    case.assertEqual(
+        1, (await command_line.run_async('explain', 'prg-1')).status
+    )
 
 
 @fixtures.on_real_loop
 async def test_apply_waits_until_all_have_the_version(
-    case, line, platform, instances
+    case, command_line, platform, instances
 ):
     for instance in instances:
         instance.version = 1
-    ran = await line.wait('diff', line.folder.path)
-    case.assertIn('+ agents.board: ', ran.output)
-    # The instances report version 1 of a lost table: the next one is 2.
-    ran = await line.wait('apply', line.folder.path, '--wait_timeout=0')
-    case.assertIn('Accepted as version 2', ran.output)
-    case.assertEqual(4, ran.status)
-    case.assertIn('not in force on: i-1, i-2', ran.errors)
+    result = await command_line.run_async('diff', command_line.folder.path)
+    case.assertIn('+ agents.board: ', result.output)
+    # The table is empty, but the instances report version 1, so that the
+    # next version is 2.
+    result = await command_line.run_async(
+        'apply', command_line.folder.path, '--wait_timeout=0'
+    )
+    case.assertIn('Accepted as version 2', result.output)
+    case.assertEqual(4, result.status)
+    case.assertIn('not in force on: i-1, i-2', result.errors)
     instances[0].version = 2
-    ran = await line.wait('apply', line.folder.path, '--wait_timeout=0')
-    case.assertIn('Version 2 is the same.', ran.output)
-    case.assertIn('not in force on: i-2', ran.errors)
+    result = await command_line.run_async(
+        'apply', command_line.folder.path, '--wait_timeout=0'
+    )
+    case.assertIn('Version 2 is the same.', result.output)
+    case.assertIn('not in force on: i-2', result.errors)
     instances[1].version = 2
-    ran = await line.wait('apply', line.folder.path, '--wait_timeout=0')
-    case.assertEqual(0, ran.status)
-    case.assertIn('in force everywhere', ran.output)
+    result = await command_line.run_async(
+        'apply', command_line.folder.path, '--wait_timeout=0'
+    )
+    case.assertEqual(0, result.status)
+    case.assertIn('in force everywhere', result.output)
 
 
 @fixtures.on_real_loop
-async def test_broken_folders_change_nothing(case, line, platform, instances):
-    """A half-written file stops the calls of a whole night.
+async def test_invalid_folders_change_nothing(
+    case, command_line, platform, instances
+):
+    """Applying a folder with an invalid value replaces the configuration.
 
-    An operator applies a folder in which one value is wrong; what is in
-    force must stay, and the store must not even be asked.
+    The store must not be accessed at all.
     """
-    for one in (*broken.list_by_hand(), *broken.generate()):
-        line.folder.write(broken.CHANGED, one.text)
-        ran = await line.wait('apply', line.folder.path)
-        where = f'{line.folder.path / one.file}:{one.line}:'
-        case.assertEqual((2, ''), (ran.status, ran.output))
-        case.assertRegex(ran.errors, f'(?m)^{where}[0-9]+: {one.id}')
+    for item in (*broken.list_by_hand(), *broken.generate()):
+        command_line.folder.write(broken.CHANGED, item.text)
+        result = await command_line.run_async(
+            'apply', command_line.folder.path
+        )
+        where = f'{command_line.folder.path / item.file}:{item.line}:'
+        case.assertEqual((2, ''), (result.status, result.output))
+        case.assertRegex(result.errors, f'(?m)^{where}[0-9]+: {item.id}')
     counters = platform.memory.table.counters
     case.assertEqual((0, 0), (counters.reads, counters.writes))
-    case.assertEqual([], instances[0].asked)
+    case.assertEqual([], instances[0].received)
 
 
 @fixtures.on_real_loop
 async def test_apply_on_another_base_names_the_winner(
-    case, line, platform, instances
+    case, command_line, platform, instances
 ):
-    words = ['apply', line.folder.path, '--nowait']
-    case.assertEqual(0, (await line.wait(*words, '--author=ann')).status)
-    line.folder.write('20.json', '{"policy": {"repeated_steps": 9}}')
-    ran = await line.wait(*words, '--author=bob', '--base=0')
-    case.assertEqual(3, ran.status)
-    case.assertIn('ann was first with version 1', ran.errors)
-    ran = await line.wait(*words, '--author=bob', '--base=1')
-    case.assertEqual(0, ran.status)
-    case.assertIn('~ policy.repeated_steps: 8 -> 9', ran.output)
+    words = ['apply', command_line.folder.path, '--nowait']
+    case.assertEqual(
+        0, (await command_line.run_async(*words, '--author=ann')).status
+    )
+    command_line.folder.write('20.json', '{"policy": {"repeated_steps": 9}}')
+    result = await command_line.run_async(*words, '--author=bob', '--base=0')
+    case.assertEqual(3, result.status)
+    case.assertIn('ann was first with version 1', result.errors)
+    result = await command_line.run_async(*words, '--author=bob', '--base=1')
+    case.assertEqual(0, result.status)
+    case.assertIn('~ policy.repeated_steps: 8 -> 9', result.output)
 
 
 @fixtures.on_real_loop
-async def test_unreachable_store_gives_status_4(case, line):
+async def test_unreachable_store_gives_status_4(case, command_line):
     urls = ['--table=http://127.0.0.1:1', '--objects=http://127.0.0.1:1']
-    words = ['diff', line.folder.path, '--store_timeout=0.1', *urls]
-    case.assertEqual(4, (await line.wait(*words)).status)
+    words = ['diff', command_line.folder.path, '--store_timeout=0.1', *urls]
+    case.assertEqual(4, (await command_line.run_async(*words)).status)
 
 
-load_tests = fixtures.adapt(__name__, [runs])
+load_tests = fixtures.adapt(__name__, [cli_fixtures])
