--- a/libs/testing/vanillayoke/testing/loops.py
+++ b/libs/testing/vanillayoke/testing/loops.py
@@ -1,58 +1,64 @@
-"""An event loop in virtual time: waiting costs nothing and is exact."""
+"""An event loop in virtual time, in which waiting takes no real time."""
 
 import asyncio
 import selectors
 
-MOST_TURNS = 200_000
-SHORTEST_WAIT = 1e-6
+MAX_ITERATIONS_AT_SAME_TIME = 200_000
+MIN_WAIT_SECONDS = 1e-6
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Moves the loop's clock on instead of waiting for it.
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """Advances the virtual clock instead of waiting.
 
-    Real sockets are polled without waiting; a test that uses them must use
-    a real loop instead.
+    Real sockets are only polled; a test that uses them needs an ordinary
+    loop.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.clock = 0.0
-        self._turns = 0
+        self.elapsed = 0.0
+        self._iterations_at_same_time = 0
 
     def select(self, timeout: float | None = None):
-        self._note_turn(timeout)
+        self._count_iteration(timeout)
         ready = super().select(0)
         if not ready and timeout is None:
-            raise RuntimeError('deadlock: every task waits for ever')
+            raise RuntimeError(
+                'deadlock: all tasks are waiting and no timer is scheduled'
+            )
         if not ready and timeout > 0:
-            # A wait too short to change the clock's float would leave a
-            # task that waits for a time waiting for it for ever.
-            self.clock += max(timeout, SHORTEST_WAIT)
+            # A timeout below the floating-point resolution of the clock would
+            # not advance it, and the timer would never become due.
+            self.elapsed += max(timeout, MIN_WAIT_SECONDS)
         return ready
 
-    def _note_turn(self, timeout: float | None) -> None:
-        """Fail where tasks keep each other busy while time stands still."""
-        self._turns = self._turns + 1 if timeout == 0 else 0
-        if self._turns > MOST_TURNS:
-            raise RuntimeError('the loop spins without time going on')
+    def _count_iteration(self, timeout: float | None) -> None:
+        """Raise ``RuntimeError`` after too many iterations at one time."""
+        self._iterations_at_same_time = (
+            self._iterations_at_same_time + 1 if timeout == 0 else 0
+        )
+        if self._iterations_at_same_time > MAX_ITERATIONS_AT_SAME_TIME:
+            raise RuntimeError(
+                'event loop is spinning: virtual time does not advance'
+            )
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock starts at ``START`` and jumps to the next timer."""
+    """A loop whose clock advances to the next timer without waiting."""
 
-    START = 1000.0
+    START_SECONDS = 1000.0
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
         self._clock_resolution = 1e-9
 
     def time(self) -> float:
-        return self.START + self._jumping.clock
+        return self.START_SECONDS + self._virtual_selector.elapsed
 
     def finish(self) -> None:
-        """Cancel the tasks that a test left behind and let them end."""
-        # A cancelled task may start another one to clean up behind it.
+        """Cancel all remaining tasks and wait until they have ended."""
+        # A cancelled task may start another one for its cleanup.
         while tasks := asyncio.all_tasks(self):
             for task in tasks:
                 task.cancel()
--- a/libs/testing/vanillayoke/testing/networks.py
+++ b/libs/testing/vanillayoke/testing/networks.py
@@ -1,8 +1,8 @@
-"""A network in memory, in virtual time, with the faults that tests cause.
+"""An in-memory network in virtual time with fault injection.
 
-It stands in for the connection calls of an event loop, so that protocols run
-unchanged. Bytes arrive in order after a delay; hosts can be cut off, killed
-and brought back, and open connections can go silent.
+Replaces the connection methods of an event loop, so that protocols run
+unchanged. Data arrives in order after a delay. Tests can make hosts
+unreachable, block paths between hosts, and stall or reset open connections.
 """
 
 import asyncio
@@ -10,17 +10,17 @@
 import contextvars
 import typing
 
-DELAY = 0.001
-# The host whose code runs; tasks inherit it from whoever started them.
-HOST: contextvars.ContextVar[str] = contextvars.ContextVar('host')
-# Addresses as ``IP:PORT`` pairs.
+DELAY_SECONDS = 0.001
+# The host whose code is running; tasks inherit it from their creator.
+CURRENT_HOST: contextvars.ContextVar[str] = contextvars.ContextVar('host')
+# IP address and port.
 Address = tuple[str, int]
 
 
 def make_context(host: str) -> contextvars.Context:
-    """Return a context in which a host's code runs."""
+    """Return a context in which ``CURRENT_HOST`` is a host."""
     context = contextvars.copy_context()
-    context.run(HOST.set, host)
+    context.run(CURRENT_HOST.set, host)
     return context
 
 
@@ -35,24 +35,24 @@
         self.host = host
         self.protocol = protocol
         self.peer: _Transport = None
-        self.is_silent = False
+        self.is_stalled = False
         self._is_closing = False
-        self._is_lost = False
+        self._is_reported_closed = False
         self._has_sent_eof = False
-        # Timers of the same moment fire in any order; what arrives is
-        # taken from here, so that it stays in order.
-        self._arriving: collections.deque = collections.deque()
+        # Timers that are due at the same time fire in any order; the queue
+        # keeps deliveries in the order in which they were sent.
+        self._pending_deliveries: collections.deque = collections.deque()
 
-    # What protocols use
+    # Methods called by protocols
 
     def write(self, data: bytes) -> None:
         if data and not self._is_closing and not self._has_sent_eof:
-            self._carry(lambda peer, d=bytes(data): peer.take_data(d))
+            self._send(lambda peer, d=bytes(data): peer.receive_data(d))
 
     def write_eof(self) -> None:
         if not self._has_sent_eof:
             self._has_sent_eof = True
-            self._carry(lambda peer: peer.take_eof())
+            self._send(lambda peer: peer.receive_eof())
 
     def can_write_eof(self) -> bool:
         return True
@@ -63,54 +63,58 @@
     def close(self) -> None:
         if not self._is_closing:
             self.write_eof()
-            self._end(None)
+            self._close(None)
 
     def abort(self) -> None:
         if not self._is_closing:
-            self._carry(lambda peer: peer.take_reset())
-            self._end(None)
+            self._send(lambda peer: peer.receive_reset())
+            self._close(None)
 
     def set_write_buffer_limits(self, high=None, low=None) -> None:
-        """Writers are never made to wait here."""
+        """Ignore the limits: writes are never paused."""
 
     def get_extra_info(self, name: str, default=None):
         return default
 
-    # What the network and the other end use
+    # Methods called by the network and the peer
 
-    def arrive(self, deliver: typing.Callable[['_Transport'], None]) -> None:
-        """Take something that the other end sent, a delay from now."""
-        self._arriving.append(deliver)
-        self.network.later(self.host, lambda: self._arriving.popleft()(self))
+    def schedule_delivery(
+        self, deliver: typing.Callable[['_Transport'], None]
+    ) -> None:
+        """Receive something from the peer after the network delay."""
+        self._pending_deliveries.append(deliver)
+        self.network.deliver_later(
+            self.host, lambda: self._pending_deliveries.popleft()(self)
+        )
 
-    def take_data(self, data: bytes) -> None:
+    def receive_data(self, data: bytes) -> None:
         if not self._is_closing:
             self.protocol.data_received(data)
 
-    def take_eof(self) -> None:
+    def receive_eof(self) -> None:
         if not self._is_closing and not self.protocol.eof_received():
             self.close()
 
-    def take_reset(self) -> None:
+    def receive_reset(self) -> None:
         if not self._is_closing:
-            self._end(ConnectionResetError('reset by the other end'))
+            self._close(ConnectionResetError('reset by the other end'))
 
-    def _carry(self, deliver: typing.Callable[['_Transport'], None]) -> None:
-        if not self.network.is_path(self.host, self.peer.host):
+    def _send(self, deliver: typing.Callable[['_Transport'], None]) -> None:
+        if not self.network.has_path(self.host, self.peer.host):
             return
-        if not self.is_silent:
-            self.peer.arrive(deliver)
+        if not self.is_stalled:
+            self.peer.schedule_delivery(deliver)
 
-    def _end(self, error: Exception | None) -> None:
+    def _close(self, error: Exception | None) -> None:
         self._is_closing = True
         self.network.transports.discard(self)
         loop = asyncio.get_event_loop()
         context = make_context(self.host)
-        loop.call_soon(self._lose, error, context=context)
+        loop.call_soon(self._report_closed, error, context=context)
 
-    def _lose(self, error: Exception | None) -> None:
-        if not self._is_lost:
-            self._is_lost = True
+    def _report_closed(self, error: Exception | None) -> None:
+        if not self._is_reported_closed:
+            self._is_reported_closed = True
             self.protocol.connection_lost(error)
 
 
@@ -136,47 +140,49 @@
         self.protocol = protocol
 
     def sendto(self, data: bytes, addr: Address | None = None) -> None:
-        self._network.carry_datagram(bytes(data), self.address, addr)
+        self._network.send_datagram(bytes(data), self.address, addr)
 
     def close(self) -> None:
         self._network.sockets.pop(self.address, None)
 
 
 class Network:
-    """Connects the protocols of one loop."""
+    """The network of one event loop; replaces its connection methods."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self.delay = DELAY
+        self.delay = DELAY_SECONDS
         self.listeners: dict[Address, typing.Callable] = {}
         self.sockets: dict[Address, _DatagramTransport] = {}
         self.transports: set[_Transport] = set()
-        self.dark: set[str] = set()
-        self.cuts: set[frozenset[str]] = set()
-        self.opened: collections.Counter[Address] = collections.Counter()
+        self.unreachable_hosts: set[str] = set()
+        self.blocked_paths: set[frozenset[str]] = set()
+        self.connection_counts: collections.Counter[Address] = (
+            collections.Counter()
+        )
         loop.create_connection = self.create_connection
         loop.create_server = self.create_server
         loop.create_datagram_endpoint = self.create_datagram_endpoint
 
-    # In place of the loop's calls
+    # Replacements of methods of the loop
 
     async def create_connection(self, factory, host: str, port: int):
-        own = HOST.get('caller')
+        local_host = CURRENT_HOST.get('caller')
         await asyncio.sleep(self.delay)
-        if not self.is_path(own, host):
-            # Nothing answers; only a time-out of the caller's ends this.
+        if not self.has_path(local_host, host):
+            # Without a path this never completes; the caller must time out.
             await asyncio.get_running_loop().create_future()
-        make = self.listeners.get((host, port))
-        if make is None:
+        protocol_factory = self.listeners.get((host, port))
+        if protocol_factory is None:
             raise ConnectionRefusedError(f'{host}:{port}')
-        self.opened[host, port] += 1
-        near = _Transport(self, own, factory())
-        far = _Transport(self, host, make())
-        near.peer, far.peer = far, near
-        self.transports |= {near, far}
-        make_context(host).run(far.protocol.connection_made, far)
-        near.protocol.connection_made(near)
-        return near, near.protocol
+        self.connection_counts[host, port] += 1
+        local_end = _Transport(self, local_host, factory())
+        remote_end = _Transport(self, host, protocol_factory())
+        local_end.peer, remote_end.peer = remote_end, local_end
+        self.transports |= {local_end, remote_end}
+        make_context(host).run(remote_end.protocol.connection_made, remote_end)
+        local_end.protocol.connection_made(local_end)
+        return local_end, local_end.protocol
 
     async def create_server(self, factory, host, port, **options):
         self.listeners[host, port] = factory
@@ -189,52 +195,57 @@
         protocol.connection_made(transport)
         return transport, protocol
 
-    # Carrying
+    # Delivery
 
-    def later(self, host: str, deliver: typing.Callable[[], None]) -> None:
-        """Deliver to a host after the network's delay."""
+    def deliver_later(
+        self, host: str, deliver: typing.Callable[[], None]
+    ) -> None:
+        """Call ``deliver`` in a host's context after the network delay."""
         self._loop.call_later(self.delay, deliver, context=make_context(host))
 
-    def is_path(self, one: str, other: str) -> bool:
-        """Say whether packets pass between two hosts."""
-        if one in self.dark or other in self.dark:
+    def has_path(self, host: str, other_host: str) -> bool:
+        """Return whether packets pass between two hosts."""
+        if (
+            host in self.unreachable_hosts
+            or other_host in self.unreachable_hosts
+        ):
             return False
-        return frozenset((one, other)) not in self.cuts
+        return frozenset((host, other_host)) not in self.blocked_paths
 
-    def carry_datagram(
+    def send_datagram(
         self, data: bytes, sender: Address, receiver: Address
     ) -> None:
-        """Deliver a datagram if there is a path and a receiver."""
-        if not self.is_path(sender[0], receiver[0]):
+        """Deliver a datagram if there is a path to an open socket."""
+        if not self.has_path(sender[0], receiver[0]):
             return
 
         def deliver() -> None:
-            found = self.sockets.get(receiver)
-            if found is not None:
-                found.protocol.datagram_received(data, sender)
+            transport = self.sockets.get(receiver)
+            if transport is not None:
+                transport.protocol.datagram_received(data, sender)
 
-        self.later(receiver[0], deliver)
+        self.deliver_later(receiver[0], deliver)
 
-    # Faults
+    # Fault injection
 
-    def cut(self, one: str, other: str) -> None:
-        """Let no packet pass between two hosts."""
-        self.cuts.add(frozenset((one, other)))
+    def block_path(self, host: str, other_host: str) -> None:
+        """Block all packets between two hosts, in both directions."""
+        self.blocked_paths.add(frozenset((host, other_host)))
 
-    def heal(self) -> None:
-        """Let packets pass everywhere again."""
-        self.cuts.clear()
-        self.dark.clear()
+    def restore_paths(self) -> None:
+        """Remove all blocked paths and make all hosts reachable."""
+        self.blocked_paths.clear()
+        self.unreachable_hosts.clear()
 
-    def silence(self, host: str) -> None:
-        """Let all open connections of a host go silent for good."""
+    def stall_connections(self, host: str) -> None:
+        """Drop all further data on the open connections of a host."""
         for transport in self.transports:
             if host in (transport.host, transport.peer.host):
-                transport.is_silent = True
+                transport.is_stalled = True
 
-    def reset(self, host: str) -> None:
+    def reset_connections(self, host: str) -> None:
         """Reset all open connections of a host."""
         for transport in list(self.transports):
             if host == transport.host:
                 transport.abort()
-                transport.take_reset()
+                transport.receive_reset()
--- a/tests/gateway/site_fixtures.py
+++ b/tests/gateway/site_fixtures.py
@@ -22,7 +22,7 @@
 
 @fixtures.fixture
 def site(network, clock):
-    return site_module.Site(clock, networks.HOST.set)
+    return site_module.Site(clock, networks.CURRENT_HOST.set)
 
 
 def rank_coordinators(program, names):
@@ -75,7 +75,7 @@
     """End an instance at once, as a loss of power does."""
     front = site.instances.pop(name)
     host = front.settings.ip
-    network.dark.add(host)
+    network.unreachable_hosts.add(host)
     for task in list(front._tasks):
         task.cancel()
     front._maintenance_timer.cancel()
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -168,7 +168,7 @@
     hosts = {name: front.settings.ip for name, front in site.instances.items()}
     for name in hosts:
         site_fixtures.kill(site, network, name)
-    network.dark.clear()
+    network.unreachable_hosts.clear()
     for name, host in hosts.items():
         await site.add_instance(name, host)
     await asyncio.sleep(1.0)
@@ -217,7 +217,7 @@
     alone = rank_homes()[-1]
     for name in INSTANCES:
         if name != alone:
-            network.cut(
+            network.block_path(
                 site.instances[alone].settings.ip,
                 site.instances[name].settings.ip,
             )
@@ -237,7 +237,7 @@
     for one in hosts:
         for other in hosts:
             if one < other:
-                network.cut(one, other)
+                network.block_path(one, other)
     found = await send_all(site, 2, 0.2, names)
     case.assertLessEqual(found[200], 10)
 
--- a/tests/gateway/test_limits_rolls.py
+++ b/tests/gateway/test_limits_rolls.py
@@ -89,12 +89,12 @@
     for one in cut:
         for other in names:
             if one != other:
-                network.cut(
+                network.block_path(
                     site.instances[one].settings.ip,
                     site.instances[other].settings.ip,
                 )
     await asyncio.sleep(5.0)
-    network.heal()
+    network.restore_paths()
     await sending
     most = test_limits.find_most(site)
     case.assertLessEqual(most, MOST)
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -165,7 +165,7 @@
     for name in names:
         site_fixtures.kill(site, network, name)
     await asyncio.sleep(1.0)
-    network.dark.clear()
+    network.unreachable_hosts.clear()
     await asyncio.gather(*(site.add_instance(name) for name in names))
     await asyncio.sleep(0.1)
     answers = await asyncio.gather(
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -138,7 +138,7 @@
 ):
     """A key is taken away while the store is silent to one instance."""
     site = await shop(4)
-    network.cut('10.1.0.1', '10.9.0.1')
+    network.block_path('10.1.0.1', '10.9.0.1')
     site.configure(3, [BLUE])
     await asyncio.sleep(1.9)
     case.assertEqual(401, (await site.call('i1', 'look', key='red-1')).status)
--- a/tests/gateway/test_outages.py
+++ b/tests/gateway/test_outages.py
@@ -234,7 +234,7 @@
     through another instance.
     """
     await site.start(3)
-    network.cut('10.1.0.1', '10.9.0.1')
+    network.block_path('10.1.0.1', '10.9.0.1')
     await asyncio.sleep(4.0)
     site.store.put('op', 'config', _add_route())
     first = await site.turn('i1', 'a', b'one')
@@ -256,7 +256,7 @@
     """
     await site.start(9)
     for number in (1, 2, 3):
-        network.cut(f'10.1.0.{number}', '10.9.0.1')
+        network.block_path(f'10.1.0.{number}', '10.9.0.1')
     await asyncio.sleep(3.0)
     began = site.timers.now()
     for number in range(12):
@@ -280,7 +280,7 @@
     """
     await site.start(4)
     for other in ('10.1.0.2', '10.1.0.3', '10.1.0.4', '10.9.0.1'):
-        network.cut('10.1.0.1', other)
+        network.block_path('10.1.0.1', other)
     await asyncio.sleep(4.0)
     case.assertFalse(site.instances['i1'].is_ready)
     case.assertTrue(site.instances['i2'].is_ready)
--- a/tests/gateway/test_plain.py
+++ b/tests/gateway/test_plain.py
@@ -186,7 +186,9 @@
     for _ in range(10):
         await site.call('i1', 'look', method=b'GET')
         await asyncio.sleep(0.05)
-    opened = sum(network.opened[f'10.8.0.{n}', 8080] for n in (3, 4))
+    opened = sum(
+        network.connection_counts[f'10.8.0.{n}', 8080] for n in (3, 4)
+    )
     case.assertLessEqual(opened, 4)
 
 
--- a/tests/gateway/test_table_sync.py
+++ b/tests/gateway/test_table_sync.py
@@ -182,7 +182,7 @@
     work.
     """
     await site.start()
-    network.silence('10.9.0.1')
+    network.stall_connections('10.9.0.1')
     await asyncio.sleep(3.0)
     _configure(site, 2, [calls.make_route('new', 'tools', 'safe')])
     await asyncio.sleep(2.0)
--- a/tests/gateway/test_target_health.py
+++ b/tests/gateway/test_target_health.py
@@ -56,7 +56,7 @@
 ):
     """One instance can't reach a server that serves all others."""
     await site.start(INSTANCES)
-    network.cut('10.1.0.1', '10.8.0.3')
+    network.block_path('10.1.0.1', '10.8.0.3')
     for _ in range(10):
         await site.call('i1', 'look', method=b'GET')
     await asyncio.sleep(0.5)
--- a/tests/testing/test_fixtures.py
+++ b/tests/testing/test_fixtures.py
@@ -80,21 +80,21 @@
 
 
 def test_fixture_is_closed_after_a_failure(case):
-    before = len(_CLOSED)
+    closed_count = len(_CLOSED)
 
     def test_fails(case, numbers):
         case.fail('expected')
 
     _run_module(test_fails=test_fails, numbers=numbers)
-    case.assertEqual(before + 1, len(_CLOSED))
+    case.assertEqual(closed_count + 1, len(_CLOSED))
 
 
-def test_hang_on_the_real_loop_fails(case):
+def test_hanging_test_on_the_real_loop_fails(case):
     @fixtures.on_real_loop
     async def test_hangs():
         await asyncio.Event().wait()
 
-    with mock.patch.object(fixtures, 'REAL_LOOP_TIMEOUT', 0.01):
+    with mock.patch.object(fixtures, 'REAL_LOOP_TIMEOUT_SECONDS', 0.01):
         result = _run_module(test_hangs=test_hangs)
     case.assertEqual(1, len(result.errors))
 
--- a/tests/transport/test_client.py
+++ b/tests/transport/test_client.py
@@ -66,7 +66,7 @@
     pool = client.Pool(1.0)
     case.assertEqual((200, b'ok'), await _request(pool))
     case.assertEqual((200, b'ok'), await _request(pool))
-    case.assertEqual(1, network.opened[HOST, PORT])
+    case.assertEqual(1, network.connection_counts[HOST, PORT])
 
 
 async def test_connection_with_unsolicited_bytes_is_closed(case, network):
@@ -82,7 +82,7 @@
     )
     await asyncio.sleep(0.1)
     case.assertEqual((200, b'ok'), await _request(pool))
-    case.assertEqual(2, network.opened[HOST, PORT])
+    case.assertEqual(2, network.connection_counts[HOST, PORT])
 
 
 async def test_second_response_in_one_packet_is_dropped(case, network):
@@ -90,7 +90,7 @@
     pool = client.Pool(1.0)
     await _request(pool)
     await _request(pool)
-    case.assertEqual(2, network.opened[HOST, PORT])
+    case.assertEqual(2, network.connection_counts[HOST, PORT])
 
 
 async def test_rejected_response_is_skipped(case, network):
@@ -145,7 +145,7 @@
 
 
 async def test_unreachable_host_times_out(case, network):
-    network.dark.add(HOST)
+    network.unreachable_hosts.add(HOST)
     with case.assertRaises(client.NotSent):
         await client.Pool(0.4).acquire(ADDRESS)
 
