--- a/libs/cli/vanillayoke/cli/management/commands/emulate.py
+++ b/libs/cli/vanillayoke/cli/management/commands/emulate.py
@@ -29,7 +29,7 @@
 
 def run(invocation: commands.Invocation) -> int:
     """Run each seed of the scenario under each policy; print a table."""
-    # Imported here, as instances are installed without the emulator.
+    # Imported here, as this package does not depend on the emulator.
     from vanillayoke.emulator import emulation
     from vanillayoke.emulator import policies
     from vanillayoke.emulator import reports
--- a/libs/cli/vanillayoke/cli/stores.py
+++ b/libs/cli/vanillayoke/cli/stores.py
@@ -31,7 +31,7 @@
 
 
 class Stores(typing.NamedTuple):
-    """Base URLs; ``timeout`` in seconds includes all retries."""
+    """Base URLs; no retry starts later than ``timeout`` in seconds."""
 
     table: str
     objects: str
