--- a/libs/cli/vanillayoke/cli/management/commands/show.py
+++ b/libs/cli/vanillayoke/cli/management/commands/show.py
@@ -1,10 +1,6 @@
-"""Show a folder's merged settings and where each value came from."""
-
-import json
-import os
+"""Show a folder's merged settings and the origin of each value."""
 
 from absl import flags
-
 from vanillayoke.cli import commands
 from vanillayoke.cli import exits
 from vanillayoke.cli import queries
@@ -14,6 +10,8 @@
 from vanillayoke.settings import loading
 from vanillayoke.settings import origins
 from vanillayoke.settings import sources
+import json
+import os
 
 ARGUMENTS = ('FOLDER',)
 
@@ -24,7 +22,7 @@
 
 
 def run(invocation: commands.Invocation) -> int:
-    """Show what a folder merges to, also where it has faults."""
+    """Show the merged settings of a folder, even if it has faults."""
     loaded = loading.load_configuration(invocation.arguments[0])
     reports.warn_of_faults(invocation, loaded.faults)
     found = origins.list_origins(loaded.tree)
@@ -56,8 +54,8 @@
         for origin in found
     }
     merged = sources.to_builtins(tree)
-    shown = {'settings': merged, 'origins': places}
-    invocation.print(json.dumps(shown, ensure_ascii=False, indent=2))
+    document = {'settings': merged, 'origins': places}
+    invocation.print(json.dumps(document, ensure_ascii=False, indent=2))
 
 
 def _format_place(origin: origins.Origin) -> str:
--- a/tests/gateway/site_fixtures.py
+++ b/tests/gateway/site_fixtures.py
@@ -1,14 +1,12 @@
 """Fixtures and helpers for tests with a site on a simulated network."""
 
-import asyncio
-
 from tests.gateway import site as site_module
 from vanillayoke.core import timers
 from vanillayoke.gateway import rendezvous
 from vanillayoke.testing import fixtures
 from vanillayoke.testing import networks
 from vanillayoke.transport import client
-
+import asyncio
 
 @fixtures.fixture
 def clock(loop):
@@ -22,7 +20,7 @@
 
 @fixtures.fixture
 def site(network, clock):
-    return site_module.Site(clock, networks.HOST.set)
+    return site_module.Site(clock, networks.CURRENT_HOST.set)
 
 
 def rank_coordinators(program, names):
@@ -75,7 +73,7 @@
     """Stop an instance abruptly, as a power failure would."""
     instance = site.instances.pop(name)
     host = instance.settings.ip
-    network.dark.add(host)
+    network.unreachable_hosts.add(host)
     for task in list(instance._tasks):
         task.cancel()
     instance._maintenance_timer.cancel()
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -1,8 +1,5 @@
 """Tests of limits across all instances of a site."""
 
-import asyncio
-import collections
-
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import limits as limits_module
@@ -12,6 +9,8 @@
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
+import asyncio
+import collections
 
 WINDOW = 5.0
 RATE = 4
@@ -180,7 +179,7 @@
     }
     for name in hosts:
         site_fixtures.kill(site, network, name)
-    network.dark.clear()
+    network.unreachable_hosts.clear()
     for name, host in hosts.items():
         await site.add_instance(name, host)
     await asyncio.sleep(1.0)
@@ -231,7 +230,7 @@
     alone = rank_coordinators()[-1]
     for name in INSTANCES:
         if name != alone:
-            network.cut(
+            network.block_path(
                 site.instances[alone].settings.ip,
                 site.instances[name].settings.ip,
             )
@@ -249,7 +248,7 @@
     for host in hosts:
         for other in hosts:
             if host < other:
-                network.cut(host, other)
+                network.block_path(host, other)
     statuses = await send_all(site, 2, 0.2, names)
     case.assertLessEqual(statuses[200], 10)
 
--- a/tests/gateway/test_limits_rolls.py
+++ b/tests/gateway/test_limits_rolls.py
@@ -1,12 +1,11 @@
 """Tests of a limit while instances are replaced, cut off or lost."""
 
-import asyncio
-
 from tests.gateway import site as site_module
 from tests.gateway import site_fixtures
 from tests.gateway import test_limits
 from vanillayoke.scheduling import quotas
 from vanillayoke.testing import fixtures
+import asyncio
 
 INSTANCE_COUNT = 24
 GROUP_SIZE = 4
@@ -92,12 +91,12 @@
     for name in cut:
         for other in names:
             if name != other:
-                network.cut(
+                network.block_path(
                     site.instances[name].settings.ip,
                     site.instances[other].settings.ip,
                 )
     await asyncio.sleep(5.0)
-    network.heal()
+    network.restore_paths()
     await sending
     max_runs = test_limits.find_max_runs(site)
     case.assertLessEqual(max_runs, MAX_RUNS)
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -4,16 +4,14 @@
 at whichever instance holds them, and a budget must not be split.
 """
 
-import asyncio
-
-import msgspec
-
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.testing import fixtures
+import asyncio
+import msgspec
 
 BUDGET = 175
 MAX_TOKENS = 100
@@ -162,7 +160,7 @@
     for name in names:
         site_fixtures.kill(site, network, name)
     await asyncio.sleep(1.0)
-    network.dark.clear()
+    network.unreachable_hosts.clear()
     await asyncio.gather(*(site.add_instance(name) for name in names))
     await asyncio.sleep(0.1)
     answers = await asyncio.gather(
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -1,13 +1,12 @@
 """Tests of organisations: authentication by keys, and isolation."""
 
-import asyncio
-
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import messages
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
 from vanillayoke.transport import client
+import asyncio
 
 RED = calls.make_organisation('red', 'red-1', 'red-2')
 BLUE = calls.make_organisation('blue', 'blue-1')
@@ -144,7 +143,7 @@
 ):
     """A key is revoked while an instance cannot reach the store."""
     site = await shop(4)
-    network.cut('10.1.0.1', '10.9.0.1')
+    network.block_path('10.1.0.1', '10.9.0.1')
     site.configure(3, [BLUE])
     await asyncio.sleep(1.9)
     case.assertEqual(401, (await site.call('i1', 'look', key='red-1')).status)
--- a/tests/gateway/test_outages.py
+++ b/tests/gateway/test_outages.py
@@ -1,7 +1,5 @@
 """Tests with a store that is unavailable or slow, entirely or in part."""
 
-import asyncio
-
 from tests.gateway import site as site_module
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import histories
@@ -9,7 +7,7 @@
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
-
+import asyncio
 
 async def test_turn_waits_for_store_to_recover(case, site):
     """A program that starts in a short outage waits until it ends.
@@ -220,7 +218,7 @@
     Its reads and writes must be relayed through them.
     """
     await site.start(3)
-    network.cut('10.1.0.1', '10.9.0.1')
+    network.block_path('10.1.0.1', '10.9.0.1')
     await asyncio.sleep(4.0)
     site.store.put('op', 'config', _add_route())
     first = await site.turn('i1', 'a', b'one')
@@ -239,7 +237,7 @@
     """
     await site.start(9)
     for number in (1, 2, 3):
-        network.cut(f'10.1.0.{number}', '10.9.0.1')
+        network.block_path(f'10.1.0.{number}', '10.9.0.1')
     await asyncio.sleep(3.0)
     started_at = site.timers.now()
     for number in range(12):
@@ -261,7 +259,7 @@
     """
     await site.start(4)
     for other in ('10.1.0.2', '10.1.0.3', '10.1.0.4', '10.9.0.1'):
-        network.cut('10.1.0.1', other)
+        network.block_path('10.1.0.1', other)
     await asyncio.sleep(4.0)
     case.assertFalse(site.instances['i1'].is_ready)
     case.assertTrue(site.instances['i2'].is_ready)
--- a/tests/gateway/test_unary.py
+++ b/tests/gateway/test_unary.py
@@ -1,12 +1,10 @@
 """Tests of requests with a single response: execution and retries."""
 
-import asyncio
-
 from tests.gateway import site_fixtures
 from vanillayoke.standins import calls
 from vanillayoke.standins import targets
 from vanillayoke.testing import fixtures
-
+import asyncio
 
 def _inject(site, fault, times=1):
     for name in ('t1', 't2'):
@@ -181,7 +179,9 @@
     for _ in range(10):
         await site.call('i1', 'look', method=b'GET')
         await asyncio.sleep(0.05)
-    opened = sum(network.opened[f'10.8.0.{n}', 8080] for n in (3, 4))
+    opened = sum(
+        network.connection_counts[f'10.8.0.{n}', 8080] for n in (3, 4)
+    )
     case.assertLessEqual(opened, 4)
 
 
