--- a/libs/soak/vanillayoke/soak/__main__.py
+++ b/libs/soak/vanillayoke/soak/__main__.py
@@ -63,7 +63,7 @@
     async def play(number: int, seed: int) -> runs.Result:
         async with places:
             instances = max(2, FLAGS.processes - OTHERS)
-            plan = plans.draw_plan(
+            plan = plans.generate_plan(
                 seed,
                 instances,
                 callers=6 * instances,
@@ -103,11 +103,11 @@
 
 def _minimise(plan: plans.Plan) -> None:
     """Drop faults one group after another while the run still fails."""
-    for smaller in plans.list_halves(plan):
-        result = asyncio.run(play_plan(smaller))
+    for reduction in plans.list_reductions(plan):
+        result = asyncio.run(play_plan(reduction))
         if result.violations:
-            print(f'still fails with {len(smaller.faults)} faults')
-            _minimise(smaller)
+            print(f'still fails with {len(reduction.faults)} faults')
+            _minimise(reduction)
             return
     kept = pathlib.Path(FLAGS.folder) / f'least-{plan.seed}.json'
     kept.write_bytes(msgspec.json.encode(plan))
--- a/libs/soak/vanillayoke/soak/plans.py
+++ b/libs/soak/vanillayoke/soak/plans.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of faults, in series and overlapping."""
+"""Generates reproducible schedules of faults from a seed."""
 
 import random
 
@@ -6,10 +6,12 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault; ``subject`` picks what it hits, modulo how many there are.
+    """A fault to inject.
 
-    ``at`` and ``seconds`` count from the start of traffic; ``strength`` is a
-    number of requests, seconds or bytes a second, by the kind.
+    ``at`` is the number of seconds after traffic starts, ``seconds`` the
+    duration. ``subject`` selects the affected process, modulo the number of
+    candidates. ``strength`` is a number of requests, seconds or bytes per
+    second, depending on ``kind``.
     """
 
     at: float
@@ -20,7 +22,11 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """A whole run: sizes, traffic, faults. Times in seconds."""
+    """The sizes, traffic and faults of a run.
+
+    Faults are injected during the first ``faulty`` seconds and none during
+    the ``calm`` seconds after that.
+    """
 
     seed: int
     instances: int
@@ -30,8 +36,7 @@
     faults: tuple[Fault, ...]
 
 
-# Kinds with the longest time and the most strength that they are drawn with,
-# and how often, relative to the others.
+# Maximum duration in seconds, maximum strength and weight of each kind.
 KINDS: dict[str, tuple[float, float, int]] = {
     'kill_instance': (2.0, 1, 4),
     'kill_all': (1.5, 1, 1),
@@ -71,110 +76,112 @@
     'configure': (0.1, 1, 3),
     'configure_storm': (1.0, 6, 1),
 }
-# Kinds that came later. They are drawn by themselves, so that the faults of
-# the kinds above stay as they were for each seed.
-LATER_KINDS: dict[str, tuple[float, float, int]] = {
+# These kinds use a random generator of their own, so that a seed still gives
+# the same faults of the kinds above.
+ADDITIONAL_KINDS: dict[str, tuple[float, float, int]] = {
     'server_reborn': (1.5, 1, 2),
     'server_foreign': (2.0, 1, 2),
 }
-# Changes of keys and limits, drawn by themselves likewise.
+# Changes of keys and limits, which have their own generator as well.
 ACCESS_KINDS = ('configure_keys', 'configure_keys', 'configure_limit')
-ACCESS_PAUSE = 4.0
-# One run in so many gets a configuration of many more routes, in its first
-# half: what comes behind reads and decodes all of them.
-GROWN_KIND = 'configure_grown'
-GROWN_RUNS = 2
-GROWN_ROUTES = 1000
-# Seconds between two of the later kinds on average.
-LATER_PAUSE = 4.0
-# Faults begin in small groups, so that they overlap and follow on one
-# another; groups are this many seconds apart on average.
-GROUP_PAUSE = 1.6
-LARGEST_GROUP = 4
-
-
-def draw_plan(
+ACCESS_INTERVAL_SECONDS = 4.0
+# On average one run in MANY_ROUTES_RUN_INTERVAL adds ADDED_ROUTE_COUNT routes
+# during its first half, so that all later configurations are large.
+MANY_ROUTES_KIND = 'configure_grown'
+MANY_ROUTES_RUN_INTERVAL = 2
+ADDED_ROUTE_COUNT = 1000
+ADDITIONAL_INTERVAL_SECONDS = 4.0
+GROUP_INTERVAL_SECONDS = 1.6
+MAX_GROUP_SIZE = 4
+
+
+def generate_plan(
     seed: int,
     instances: int = 4,
     callers: int = 24,
     faulty: float = 20.0,
     calm: float = 17.0,
 ) -> Plan:
-    """Return the plan of a seed: ``faulty`` seconds with faults, then none."""
-    source = random.Random(seed)
-    names = list(KINDS)
-    weights = [KINDS[name][2] for name in names]
+    """Generate the plan of a seed.
+
+    Faults start in groups, so that they overlap.
+    """
+    rng = random.Random(seed)
+    kinds = list(KINDS)
+    weights = [KINDS[name][2] for name in kinds]
     faults = []
     at = 0.5
     while at < faulty:
-        for _ in range(source.randint(1, LARGEST_GROUP)):
-            kind = source.choices(names, weights)[0]
-            longest, most, _ = KINDS[kind]
+        for _ in range(rng.randint(1, MAX_GROUP_SIZE)):
+            kind = rng.choices(kinds, weights)[0]
+            max_seconds, max_strength, _ = KINDS[kind]
             faults.append(
                 Fault(
-                    round(min(faulty, at + source.uniform(0, 0.5)), 2),
+                    round(min(faulty, at + rng.uniform(0, 0.5)), 2),
                     kind,
-                    source.randrange(1000),
-                    round(source.uniform(0.3, 1.0) * longest, 2),
-                    round(source.uniform(0.2, 1.0) * most, 3),
+                    rng.randrange(1000),
+                    round(rng.uniform(0.3, 1.0) * max_seconds, 2),
+                    round(rng.uniform(0.2, 1.0) * max_strength, 3),
                 )
             )
-        at += source.expovariate(1 / GROUP_PAUSE)
-    faults += _draw_later(seed, faulty)
-    faults += _draw_grown(seed, faulty)
-    faults += _draw_access(seed, faulty)
+        at += rng.expovariate(1 / GROUP_INTERVAL_SECONDS)
+    faults += _generate_additional(seed, faulty)
+    faults += _generate_many_routes(seed, faulty)
+    faults += _generate_access(seed, faulty)
     faults.sort(key=lambda fault: fault.at)
     return Plan(seed, instances, callers, faulty, calm, tuple(faults))
 
 
-def _draw_later(seed: int, faulty: float) -> list[Fault]:
-    source = random.Random(f'later {seed}')
+def _generate_additional(seed: int, faulty: float) -> list[Fault]:
+    rng = random.Random(f'later {seed}')
     faults = []
-    at = source.expovariate(1 / LATER_PAUSE)
+    at = rng.expovariate(1 / ADDITIONAL_INTERVAL_SECONDS)
     while at < faulty:
-        kind = source.choice(list(LATER_KINDS))
-        longest = LATER_KINDS[kind][0]
-        seconds = round(source.uniform(0.3, 1.0) * longest, 2)
-        subject = source.randrange(1000)
+        kind = rng.choice(list(ADDITIONAL_KINDS))
+        max_seconds = ADDITIONAL_KINDS[kind][0]
+        seconds = round(rng.uniform(0.3, 1.0) * max_seconds, 2)
+        subject = rng.randrange(1000)
         faults.append(Fault(round(at, 2), kind, subject, seconds))
-        at += source.expovariate(1 / LATER_PAUSE)
+        at += rng.expovariate(1 / ADDITIONAL_INTERVAL_SECONDS)
     return faults
 
 
-def _draw_access(seed: int, faulty: float) -> list[Fault]:
-    source = random.Random(f'access {seed}')
+def _generate_access(seed: int, faulty: float) -> list[Fault]:
+    rng = random.Random(f'access {seed}')
     faults = []
-    at = source.expovariate(1 / ACCESS_PAUSE)
+    at = rng.expovariate(1 / ACCESS_INTERVAL_SECONDS)
     while at < faulty:
-        kind = source.choice(ACCESS_KINDS)
-        subject = source.randrange(1000)
+        kind = rng.choice(ACCESS_KINDS)
+        subject = rng.randrange(1000)
         faults.append(Fault(round(at, 2), kind, subject, 0.1))
-        at += source.expovariate(1 / ACCESS_PAUSE)
+        at += rng.expovariate(1 / ACCESS_INTERVAL_SECONDS)
     return faults
 
 
-def _draw_grown(seed: int, faulty: float) -> list[Fault]:
-    source = random.Random(f'grown {seed}')
-    if source.randrange(GROWN_RUNS):
+def _generate_many_routes(seed: int, faulty: float) -> list[Fault]:
+    rng = random.Random(f'grown {seed}')
+    if rng.randrange(MANY_ROUTES_RUN_INTERVAL):
         return []
-    at = round(source.uniform(0, faulty / 2), 2)
-    return [Fault(at, GROWN_KIND, strength=GROWN_ROUTES)]
+    at = round(rng.uniform(0, faulty / 2), 2)
+    return [Fault(at, MANY_ROUTES_KIND, strength=ADDED_ROUTE_COUNT)]
 
 
-def list_halves(plan: Plan) -> list[Plan]:
-    """Return plans with some of the faults dropped, the smallest first.
+def list_reductions(plan: Plan) -> list[Plan]:
+    """Return plans without some of the faults, those with the fewest first.
 
-    For the search of the fewest faults that still fail.
+    Used to minimise a failing plan.
     """
     count = len(plan.faults)
     size = max(1, count // 2)
-    smaller = []
+    reductions = []
     while size >= 1:
         for start in range(0, count, size):
-            left = plan.faults[:start] + plan.faults[start + size :]
-            if left:
-                smaller.append(msgspec.structs.replace(plan, faults=left))
+            remaining = plan.faults[:start] + plan.faults[start + size :]
+            if remaining:
+                reductions.append(
+                    msgspec.structs.replace(plan, faults=remaining)
+                )
         if size == 1:
             break
         size //= 2
-    return smaller
+    return reductions
--- a/libs/soak/vanillayoke/soak/runs.py
+++ b/libs/soak/vanillayoke/soak/runs.py
@@ -167,7 +167,7 @@
                 self._site.keys.is_lowered = not self._site.keys.is_lowered
                 self._site.configure()
             case 'configure':
-                if fault.kind == plans.GROWN_KIND:
+                if fault.kind == plans.MANY_ROUTES_KIND:
                     self._site.grown_routes += int(fault.strength)
                     self._site.configure()
                     return
--- a/tests/soak/test_plans.py
+++ b/tests/soak/test_plans.py
@@ -1,33 +1,33 @@
-"""Tests of the soak's schedules."""
+"""Tests of the generation of fault plans."""
 
 from vanillayoke.soak import plans
 from vanillayoke.testing import fixtures
 
 
-def test_seed_gives_the_same_plan(case):
-    case.assertEqual(plans.draw_plan(7), plans.draw_plan(7))
-    case.assertNotEqual(plans.draw_plan(7), plans.draw_plan(8))
+def test_seed_determines_the_plan(case):
+    case.assertEqual(plans.generate_plan(7), plans.generate_plan(7))
+    case.assertNotEqual(plans.generate_plan(7), plans.generate_plan(8))
 
 
-def test_fifty_seeds_draw_every_kind(case):
-    drawn = {
+def test_fifty_seeds_generate_every_kind(case):
+    generated = {
         fault.kind
         for seed in range(50)
-        for fault in plans.draw_plan(seed).faults
+        for fault in plans.generate_plan(seed).faults
     }
-    wanted = {
+    expected = {
         *plans.KINDS,
-        *plans.LATER_KINDS,
+        *plans.ADDITIONAL_KINDS,
         *plans.ACCESS_KINDS,
-        plans.GROWN_KIND,
+        plans.MANY_ROUTES_KIND,
     }
-    case.assertEqual(wanted, drawn)
+    case.assertEqual(expected, generated)
 
 
 def test_faults_overlap(case):
     overlaps = 0
     for seed in range(20):
-        faults = plans.draw_plan(seed).faults
+        faults = plans.generate_plan(seed).faults
         overlaps += sum(
             before.at + before.seconds > after.at
             for before, after in zip(faults, faults[1:], strict=False)
@@ -36,12 +36,12 @@
 
 
 def test_smaller_plans_drop_faults_only(case):
-    plan = plans.draw_plan(7)
-    smaller = plans.list_halves(plan)
+    plan = plans.generate_plan(7)
+    reductions = plans.list_reductions(plan)
     case.assertEqual(
-        len(plan.faults) - 1, max(len(one.faults) for one in smaller)
+        len(plan.faults) - 1, max(len(one.faults) for one in reductions)
     )
-    for one in smaller:
+    for one in reductions:
         case.assertLess(set(one.faults), set(plan.faults))
         case.assertEqual(plan.seed, one.seed)
 
