--- a/libs/soak/vanillayoke/soak/budgets.py
+++ b/libs/soak/vanillayoke/soak/budgets.py
@@ -1,4 +1,4 @@
-"""The promises on budgets: never overrun, and never withheld."""
+"""Checks that budgets are neither exceeded nor withheld."""
 
 import collections
 
@@ -6,21 +6,21 @@
 from vanillayoke.soak import records
 from vanillayoke.soak import violations
 
-# What was granted to an instance is lost with it, and counted as used.
-_LOSES_GRANTS = frozenset(('kill', 'freeze', 'clock', 'replace'))
-# Homes that take a program over within so long after trouble of the store
-# count what the ones before may have given on credit, each anew. Seconds.
-_CREDIT_MEMORY = 8.0
-_CHARGES = frozenset(('store', 'link'))
-# What one of them counts, as a share of the budget, at least one turn. On a
-# busy machine the store is slow, and so in trouble, without a fault.
-_CHARGE_SHARE = 0.25
+# Kinds of faults that lose grants of an instance, which then count as used.
+_GRANT_LOSS_KINDS = frozenset(('kill', 'freeze', 'clock', 'replace'))
+# A coordinator that takes a program over within this time of a store failure
+# charges the credit that its predecessors may have granted.
+_CREDIT_MEMORY_SECONDS = 8.0
+_CREDIT_CHARGE_KINDS = frozenset(('store', 'link'))
+# The credit that one takeover charges, relative to the budget; at least one
+# turn. On a busy machine the store may fail without an injected fault.
+_CREDIT_CHARGE_RATIO = 0.25
 
 
 def check_budgets(
-    history: histories.History, settled: float
+    history: histories.History, cutoff: float
 ) -> list[violations.Violation]:
-    """Find programs that were handed more tokens than their budget."""
+    """Find programs that received more tokens than their budget allows."""
     used: collections.Counter[str] = collections.Counter()
     limits: dict[str, int] = {}
     for name, answered in history.answered.items():
@@ -29,7 +29,7 @@
             continue
         tokens = history.bounds.event_tokens
         used[sent.program] += (
-            len(histories.read_events(answered.body)) * tokens
+            len(histories.parse_events(answered.body)) * tokens
         )
         limits[sent.program] = sent.budget + sent.most
     return [
@@ -39,34 +39,36 @@
     ]
 
 
-def check_spent(
-    history: histories.History, settled: float
+def check_withheld_budgets(
+    history: histories.History, cutoff: float
 ) -> list[violations.Violation]:
-    """Find programs told that their budget is spent while a turn still fits.
+    """Find turns refused for budget although they fit into what is left.
 
-    Turns that a server ran and that did not end whole count at their most,
-    those that reached no server not at all. Left out are programs that an
-    instance may have died with, or that homes may have charged for credit.
+    Incomplete turns that a server ran count with their maximum, those that
+    reached no server not at all. Programs whose grants may be lost, or whose
+    coordinators may have charged credit, are skipped.
     """
-    first: dict[str, float] = {}
+    first_sent_times: dict[str, float] = {}
     turns: dict[str, list[records.Sent]] = collections.defaultdict(list)
     for sent in history.sent.values():
         if sent.budget:
             turns[sent.program].append(sent)
-            first[sent.program] = min(
-                sent.at, first.get(sent.program, sent.at)
+            first_sent_times[sent.program] = min(
+                sent.at, first_sent_times.get(sent.program, sent.at)
             )
     found = []
-    for sent, answered in history.list_pairs(settled):
-        began = first.get(sent.program, 0.0)
-        if answered.status != 402 or _is_excused(history, began, answered.at):
+    for sent, answered in history.list_pairs(cutoff):
+        first_sent = first_sent_times.get(sent.program, 0.0)
+        if answered.status != 402 or _may_have_lost_tokens(
+            history, first_sent, answered.at
+        ):
             continue
         used = sum(
-            _find_most_used(history, one, answered.at)
+            _compute_max_used(history, one, answered.at)
             for one in turns[sent.program]
         )
-        charge = _find_charge(sent)
-        # One charge leaves room for a turn in every budget.
+        charge = _compute_max_charge(sent)
+        # A first turn fits even after a charge for credit.
         if not used or used + charge + sent.most <= sent.budget:
             detail = f'{used} of {sent.budget} used, {sent.most} needed'
             found.append(
@@ -77,32 +79,34 @@
     return found
 
 
-def _find_charge(sent: records.Sent) -> int:
-    """Return what may have been counted as given on credit."""
+def _compute_max_charge(sent: records.Sent) -> int:
+    """Return the tokens that may have been charged for credit."""
     if not sent.is_resumable:
-        # These routes keep their turns, and such turns get no credit.
+        # The gateway stores turns of these routes and gives them no credit.
         return 0
-    return max(sent.most, int(sent.budget * _CHARGE_SHARE))
+    return max(sent.most, int(sent.budget * _CREDIT_CHARGE_RATIO))
 
 
-def _find_most_used(
+def _compute_max_used(
     history: histories.History, sent: records.Sent, at: float
 ) -> int:
-    """Return the tokens that a turn may have generated by a time."""
+    """Return how many tokens a turn may have generated by a time."""
     answered = history.answered.get(sent.request)
     if not history.started.get(sent.request) or sent.at > at:
         return 0
     if answered is None or not answered.is_whole or answered.at > at:
         return sent.most
-    events = histories.read_events(answered.body)
+    events = histories.parse_events(answered.body)
     return len(events) * history.bounds.event_tokens
 
 
-def _is_excused(
+def _may_have_lost_tokens(
     history: histories.History,
-    began: float,
+    first_sent: float,
     until: float,
 ) -> bool:
-    if history.is_disturbed(began, until, _LOSES_GRANTS):
+    if history.is_disturbed(first_sent, until, _GRANT_LOSS_KINDS):
         return True
-    return history.is_disturbed(began - _CREDIT_MEMORY, until, _CHARGES)
+    return history.is_disturbed(
+        first_sent - _CREDIT_MEMORY_SECONDS, until, _CREDIT_CHARGE_KINDS
+    )
--- a/libs/soak/vanillayoke/soak/callers.py
+++ b/libs/soak/vanillayoke/soak/callers.py
@@ -142,7 +142,7 @@
             )
             if answered.status == 200 and answered.is_whole:
                 if line.route == 'chat':
-                    organisation = organisations.find_owner(line.key)
+                    organisation = organisations.parse_organisation(line.key)
                     kept = self._kept.setdefault(organisation, [])
                     kept.append(answered.request)
                     del kept[:-50]
@@ -213,7 +213,7 @@
                 method,
                 target,
                 body,
-                f'{organisations.find_owner(line.key)}/{line.program}',
+                f'{organisations.parse_organisation(line.key)}/{line.program}',
                 more.get('budget', 0),
                 TURN_TOKENS if kind == 'stream' else 0,
                 more.get('previous', ''),
--- a/libs/soak/vanillayoke/soak/checks.py
+++ b/libs/soak/vanillayoke/soak/checks.py
@@ -1,9 +1,9 @@
-"""The promises, checked on what callers and servers saw.
+"""Checks the gateway's guarantees on the recorded history of a run.
 
-Pure: a history goes in, violations come out. Each check looks at the whole
-history so far, so that records may come in any order; ``settled`` bounds the
-requests that a check which needs both sides looks at, since a server's
-records may still be on their way.
+Each check is a pure function from a history to violations. It examines the
+whole history, so that records may arrive in any order. Checks that compare
+records of callers and servers ignore requests that ended after ``cutoff``,
+because records of servers may still be missing for these.
 """
 
 import signal
@@ -15,20 +15,22 @@
 from vanillayoke.soak import records
 from vanillayoke.soak import violations
 
-_PROMISES_NOT_RUN = frozenset((402, 408, 421, 429, 503))
-# The share of the requests after the last fault that has to be served.
-LEAST_SERVED = 0.5
-FEWEST_AFTER = 20
-# A process that is told to stop so soon behind its start may end by the
-# signal itself. On a busy machine starting takes a second. Seconds.
-STARTING = 2.0
+_NOT_EXECUTED_STATUSES = frozenset((402, 408, 421, 429, 503))
+# Applies to the requests sent after recovery from the last fault.
+MIN_SERVED_RATIO = 0.5
+MIN_REQUEST_COUNT = 20
+# A process that gets SIGTERM within this time of its start may be terminated
+# before it has installed its signal handler.
+STARTUP_SECONDS = 2.0
 
 
 Violation = violations.Violation
 
 
-def check_once(history: histories.History, settled: float) -> list[Violation]:
-    """Find requests that ran twice though they must not."""
+def check_at_most_once(
+    history: histories.History, cutoff: float
+) -> list[Violation]:
+    """Find requests that ran more than once and must not."""
     found = []
     for name, runs in history.started.items():
         sent = history.sent.get(name)
@@ -41,12 +43,12 @@
 
 
 def check_refusals(
-    history: histories.History, settled: float
+    history: histories.History, cutoff: float
 ) -> list[Violation]:
-    """Find requests that ran though they were said not to have run."""
+    """Find requests that ran although the response says that they did not."""
     found = []
-    for sent, answered in history.list_pairs(settled):
-        if answered.status not in _PROMISES_NOT_RUN:
+    for sent, answered in history.list_pairs(cutoff):
+        if answered.status not in _NOT_EXECUTED_STATUSES:
             continue
         runs = history.started.get(sent.request, ())
         if runs:
@@ -55,12 +57,12 @@
     return found
 
 
-def check_answers(
-    history: histories.History, settled: float
+def check_responses(
+    history: histories.History, cutoff: float
 ) -> list[Violation]:
-    """Find answers that are not the whole one to their own request."""
+    """Find responses that are incomplete or belong to another request."""
     found = []
-    for sent, answered in history.list_pairs(settled):
+    for sent, answered in history.list_pairs(cutoff):
         if answered.status != 200 or not answered.is_whole:
             continue
         if not history.started.get(sent.request):
@@ -78,12 +80,12 @@
 def _check_stream(
     sent: records.Sent, answered: records.Answered
 ) -> list[Violation]:
-    events = histories.read_events(answered.body)
-    wanted = [(n, f'{sent.request}:{n}') for n in range(1, len(events) + 1)]
-    if events != wanted:
+    events = histories.parse_events(answered.body)
+    expected = [(n, f'{sent.request}:{n}') for n in range(1, len(events) + 1)]
+    if events != expected:
         detail = f'events {[number for number, _ in events]}'
         return [Violation('order of a stream', sent.request, detail)]
-    # The most tokens of a turn are those of its events in these runs.
+    # Turns of a run generate as many tokens as they may.
     if len(events) * 10 != sent.most:
         detail = f'{len(events)} events in a whole answer'
         return [Violation('whole answer', sent.request, detail)]
@@ -91,74 +93,84 @@
 
 
 def check_history(
-    history: histories.History, settled: float
+    history: histories.History, cutoff: float
 ) -> list[Violation]:
-    """Find turns whose servers did not get their chain byte for byte."""
+    """Find turns whose server did not receive the exact text of the chain."""
     found = []
     for name, runs in history.started.items():
         sent = history.sent.get(name)
         if sent is None or sent.kind != 'stream':
             continue
-        wanted = histories.find_chain(history, sent.previous) + sent.body
+        expected = (
+            histories.build_chain_text(history, sent.previous) + sent.body
+        )
         for run in runs:
-            if run.body != wanted:
+            if run.body != expected:
                 detail = f'{run.server} got {run.body[-120:]!r}'
                 found.append(Violation('history', name, detail))
     return found
 
 
-def check_kept(history: histories.History, settled: float) -> list[Violation]:
-    """Find turns said to be unknown that were answered whole before."""
+def check_retention(
+    history: histories.History, cutoff: float
+) -> list[Violation]:
+    """Find completed turns that were reported as unknown later."""
     found = []
-    for sent, answered in history.list_pairs(settled):
+    for sent, answered in history.list_pairs(cutoff):
         if answered.status not in (404, 410):
             continue
-        before = history.answered.get(sent.previous)
-        if before is not None and before.is_whole and before.status == 200:
+        parent = history.answered.get(sent.previous)
+        if parent is not None and parent.is_whole and parent.status == 200:
             detail = f'{answered.status} for {sent.previous}'
             found.append(Violation('history kept', sent.request, detail))
     return found
 
 
 def check_denials(
-    history: histories.History, settled: float
+    history: histories.History, cutoff: float
 ) -> list[Violation]:
-    """Find requests that were denied though their route is in force."""
+    """Find requests that were denied although their route is in force."""
     found = []
-    for sent, answered in history.list_pairs(settled):
+    for sent, answered in history.list_pairs(cutoff):
         is_denied = answered.status in (404, 410) and sent.kind != 'stream'
-        if is_denied and not _is_early(history, sent):
+        if is_denied and not _may_lack_route(history, sent):
             detail = f'{answered.status} on a route in force'
             found.append(Violation('no denial', sent.request, detail))
     return found
 
 
-def _is_early(history: histories.History, sent: records.Sent) -> bool:
-    """Say whether a route may not be in force yet where it was asked for."""
-    version = histories.find_version(sent)
+def _may_lack_route(history: histories.History, sent: records.Sent) -> bool:
+    """Return whether the instance may not have the route yet."""
+    version = histories.parse_version(sent)
     if not version:
         return False
-    late = history.bounds.configuration + history.bounds.slack
-    accepted = [one.at for one in history.accepted if one.version == version]
-    if not accepted or sent.at <= accepted[0] + late:
+    max_delay = history.bounds.configuration + history.bounds.slack
+    accepted = [
+        record.at for record in history.accepted if record.version == version
+    ]
+    if not accepted or sent.at <= accepted[0] + max_delay:
         return True
-    since = sent.at - late - late
-    return history.is_disturbed(since, sent.at, histories.PLAIN)
+    since = sent.at - max_delay - max_delay
+    return history.is_disturbed(
+        since, sent.at, histories.UPDATE_BLOCKING_KINDS
+    )
 
 
-def check_leaving(
-    history: histories.History, settled: float
+def check_draining(
+    history: histories.History, cutoff: float
 ) -> list[Violation]:
-    """Find work that a server got long after it said that it leaves."""
+    """Find requests sent to a server long after it began to drain."""
     found = []
-    late = history.bounds.leaving + history.bounds.slack
+    max_delay = history.bounds.leaving + history.bounds.slack
     for name, runs in history.started.items():
         for run in runs:
             since = history.leaving.get(run.server)
-            if since is None or run.at <= since + late:
+            if since is None or run.at <= since + max_delay:
                 continue
-            # Answers of a store in trouble come late or not at all.
-            if history.is_disturbed(since, run.at, histories.PLAIN):
+            # Updates may be late or lost during faults.
+            if history.is_disturbed(
+                since, run.at, histories.UPDATE_BLOCKING_KINDS
+            ):
                 continue
             detail = f'{run.server} left {run.at - since:.1f} s before'
             found.append(Violation('leaving server', name, detail))
@@ -166,24 +178,28 @@
 
 
 def check_configuration(
-    history: histories.History, settled: float
+    history: histories.History, cutoff: float
 ) -> list[Violation]:
-    """Find requests that went where only an older configuration allows."""
+    """Find requests routed by a configuration that is out of date."""
     found = []
-    versions = sorted(history.accepted, key=lambda one: one.version)
-    late = history.bounds.configuration + history.bounds.slack
+    versions = sorted(history.accepted, key=lambda record: record.version)
+    max_delay = history.bounds.configuration + history.bounds.slack
     for name, runs in history.started.items():
         sent = history.sent.get(name)
-        if sent is None or histories.find_version(sent):
+        if sent is None or histories.parse_version(sent):
             continue
         route = sent.target.split('/')[1]
-        since = sent.at - late
-        if history.is_disturbed(since - late, sent.at, histories.PLAIN):
-            # Out of touch: any version that was ever accepted may hold.
+        since = sent.at - max_delay
+        if history.is_disturbed(
+            since - max_delay, sent.at, histories.UPDATE_BLOCKING_KINDS
+        ):
+            # Updates may be lost: any accepted version may be in force.
             since = float('-inf')
         allowed = {
-            one.services[route]
-            for one, after in zip(versions, [*versions[1:], None], strict=True)
+            record.services[route]
+            for record, after in zip(
+                versions, [*versions[1:], None], strict=True
+            )
             if after is None or after.at > since
         }
         for run in runs:
@@ -193,58 +209,66 @@
     return found
 
 
-def check_regress(
-    history: histories.History, settled: float
+def check_rollback(
+    history: histories.History, cutoff: float
 ) -> list[Violation]:
     """Find processes that went back to an older configuration.
 
-    Each version adds a route of its own and keeps those before. A process
-    that served the route of a version has it in force; if it denies that
-    route later, it went back.
+    Each version adds a route and keeps the earlier ones. A process that has
+    served the route of a version and denies it later has gone back.
     """
     found = []
     newest: dict[str, tuple[float, int]] = {}
     pairs = [
-        (sent, answered, histories.find_version(sent))
-        for sent, answered in history.list_pairs(settled)
-        if histories.find_version(sent)
+        (sent, answered, histories.parse_version(sent))
+        for sent, answered in history.list_pairs(cutoff)
+        if histories.parse_version(sent)
     ]
-    for sent, answered, version in sorted(pairs, key=lambda one: one[1].at):
-        process = _find_process(history, sent, answered)
+    for sent, answered, version in sorted(pairs, key=lambda pair: pair[1].at):
+        process = _identify_process(history, sent, answered)
         if process is None:
             continue
-        at, known = newest.get(process, (float('inf'), 0))
-        if answered.status == 404 and version <= known and sent.at > at:
-            detail = f'{process} denied version {version} after {known}'
+        at, newest_version = newest.get(process, (float('inf'), 0))
+        if (
+            answered.status == 404
+            and version <= newest_version
+            and sent.at > at
+        ):
+            detail = (
+                f'{process} denied version {version} after {newest_version}'
+            )
             found.append(Violation('no regress', sent.request, detail))
-        if answered.status == 200 and version > known:
+        if answered.status == 200 and version > newest_version:
             newest[process] = (answered.at, version)
     return found
 
 
-def _find_process(
+def _identify_process(
     history: histories.History, sent: records.Sent, answered: records.Answered
 ) -> str | None:
-    """Return the process that answered, ``None`` if it is not certain."""
+    """Return the process that answered.
+
+    Returns ``None`` if a process started or ended during the request.
+    """
     moments = [
-        one.at
-        for one in history.processes
-        if one.instance == sent.instance and one.event != 'told'
+        record.at
+        for record in history.processes
+        if record.instance == sent.instance and record.event != 'told'
     ]
     if any(sent.at <= at <= answered.at for at in moments):
         return None
     return f'{sent.instance}/{sum(at < sent.at for at in moments)}'
 
 
-def check_unasked(
-    history: histories.History, settled: float
+def check_unrequested(
+    history: histories.History, cutoff: float
 ) -> list[Violation]:
-    """Find work that no caller asked for in this form."""
+    """Find requests that no caller sent in this form."""
     found = []
     for name, runs in history.started.items():
         sent = history.sent.get(name)
         for run in runs:
-            if run.at > settled:
+            if run.at > cutoff:
                 continue
             if sent is None:
                 found.append(Violation('unasked', name, 'no caller sent it'))
@@ -256,71 +280,82 @@
     return found
 
 
-def check_stops(history: histories.History, settled: float) -> list[Violation]:
+def check_graceful_stops(
+    history: histories.History, cutoff: float
+) -> list[Violation]:
     """Find planned stops that were not graceful."""
     found = []
-    told: dict[str, float] = {}
-    for one in sorted(history.processes, key=lambda one: one.at):
-        if one.event == 'told':
-            told[one.instance] = one.at
+    stop_requested: dict[str, float] = {}
+    for record in sorted(history.processes, key=lambda record: record.at):
+        if record.event == 'told':
+            stop_requested[record.instance] = record.at
             continue
-        began = told.pop(one.instance, None)
-        if one.event != 'ended' or began is None:
+        requested_at = stop_requested.pop(record.instance, None)
+        if record.event != 'ended' or requested_at is None:
             continue
-        taken = one.at - began
-        if history.is_disturbed(began, one.at, frozenset(('kill', 'freeze'))):
+        duration = record.at - requested_at
+        if history.is_disturbed(
+            requested_at, record.at, frozenset(('kill', 'freeze'))
+        ):
             continue
-        if one.status == -signal.SIGTERM:
-            # Left to the check of crashes: it knows the process's age.
+        if record.status == -signal.SIGTERM:
+            # ``check_crashes`` reports this, as it knows the process's age.
             continue
-        if one.status != 0 or taken > history.bounds.grace:
-            detail = f'status {one.status} after {taken:.1f} s'
-            found.append(Violation('graceful stop', one.instance, detail))
+        if record.status != 0 or duration > history.bounds.grace:
+            detail = f'status {record.status} after {duration:.1f} s'
+            found.append(Violation('graceful stop', record.instance, detail))
     return found
 
 
 def check_crashes(
-    history: histories.History, settled: float
+    history: histories.History, cutoff: float
 ) -> list[Violation]:
-    """Find processes that ended by themselves."""
+    """Find processes that ended with neither status 0 nor SIGKILL."""
     found = []
     started: dict[str, float] = {}
-    told: dict[str, float] = {}
-    for one in sorted(history.processes, key=lambda one: one.at):
-        match one.event:
+    stop_requested: dict[str, float] = {}
+    for record in sorted(history.processes, key=lambda record: record.at):
+        match record.event:
             case 'started':
-                started[one.instance] = one.at
-                told.pop(one.instance, None)
+                started[record.instance] = record.at
+                stop_requested.pop(record.instance, None)
             case 'told':
-                told[one.instance] = one.at
+                stop_requested[record.instance] = record.at
             case 'ended':
-                age = told.get(one.instance, 1e9) - started.get(
-                    one.instance, 0.0
+                age = stop_requested.get(record.instance, 1e9) - started.get(
+                    record.instance, 0.0
                 )
-                # Python has not got to its first line yet; nothing was
-                # served that the signal could have cut off.
-                was_young = age < STARTING and one.status == -signal.SIGTERM
-                if one.status not in (0, -signal.SIGKILL) and not was_young:
-                    detail = f'status {one.status}'
-                    found.append(Violation('no crash', one.instance, detail))
+                # The signal handler was not installed yet, so no requests
+                # were served either.
+                ended_at_startup = (
+                    age < STARTUP_SECONDS and record.status == -signal.SIGTERM
+                )
+                if (
+                    record.status not in (0, -signal.SIGKILL)
+                    and not ended_at_startup
+                ):
+                    detail = f'status {record.status}'
+                    found.append(
+                        Violation('no crash', record.instance, detail)
+                    )
     return found
 
 
 def check_recovery(
-    history: histories.History, settled: float
+    history: histories.History, cutoff: float
 ) -> list[Violation]:
-    """Find that too little was served long after the last fault."""
-    last = max((one.until for one in history.disturbed), default=0.0)
+    """Report if too few requests were served after the last fault."""
+    last = max((record.until for record in history.disturbed), default=0.0)
     since = last + history.bounds.recovery
     after = [
         answered
-        for sent, answered in history.list_pairs(settled)
+        for sent, answered in history.list_pairs(cutoff)
         if sent.at >= since and answered.status != 402
     ]
-    if len(after) < FEWEST_AFTER:
+    if len(after) < MIN_REQUEST_COUNT:
         return []
-    served = sum(one.status == 200 and one.is_whole for one in after)
-    if served >= LEAST_SERVED * len(after):
+    served = sum(record.status == 200 and record.is_whole for record in after)
+    if served >= MIN_SERVED_RATIO * len(after):
         return []
     detail = f'{served} of {len(after)} requests served'
     return [Violation('recovery', 'all', detail)]
@@ -329,30 +364,29 @@
 CHECKS: dict[
     str, typing.Callable[[histories.History, float], list[Violation]]
 ] = {
-    'at most once': check_once,
+    'at most once': check_at_most_once,
     'true refusal': check_refusals,
-    'own and whole answer': check_answers,
+    'own and whole answer': check_responses,
     'history byte for byte': check_history,
-    'history kept': check_kept,
+    'history kept': check_retention,
     'no denial': check_denials,
     'budget': budgets.check_budgets,
-    'budget not withheld': budgets.check_spent,
-    'leaving server': check_leaving,
+    'budget not withheld': budgets.check_withheld_budgets,
+    'leaving server': check_draining,
     'configuration in force': check_configuration,
-    'no regress': check_regress,
-    'nothing unasked': check_unasked,
+    'no regress': check_rollback,
+    'nothing unasked': check_unrequested,
     'own organisation': organisations.check_organisations,
     'key in force': organisations.check_keys,
     'limit': organisations.check_limit,
-    'graceful stop': check_stops,
+    'graceful stop': check_graceful_stops,
     'no crash': check_crashes,
     'recovery': check_recovery,
 }
 
 
-# These hold the product to times, so that a machine that is too busy for the
-# processes of a run fails them.
-TIMED = frozenset(
+# These checks have time limits, which a run on an overloaded machine exceeds.
+TIMED_CHECKS = frozenset(
     (
         'no denial',
         'leaving server',
@@ -365,34 +399,38 @@
 
 
 def check_all(
-    history: histories.History, settled: float, is_timed: bool = True
+    history: histories.History, cutoff: float, is_timed: bool = True
 ) -> list[Violation]:
-    """Run all checks, or those that hold on a machine of any speed."""
+    """Run all checks, without ``TIMED_CHECKS`` unless ``is_timed``."""
     return [
         violation
         for name, check in CHECKS.items()
-        if is_timed or name not in TIMED
-        for violation in check(history, settled)
+        if is_timed or name not in TIMED_CHECKS
+        for violation in check(history, cutoff)
     ]
 
 
 def count_subjects(history: histories.History) -> dict[str, int]:
-    """Return how many requests or processes each kind of check looked at."""
+    """Count the requests, processes and other subjects of the checks."""
     kinds = [sent.kind for sent in history.sent.values()]
-    statuses = [one.status for one in history.answered.values()]
+    statuses = [record.status for record in history.answered.values()]
     return {
         'unsafe requests': kinds.count('unsafe'),
         'safe requests': kinds.count('safe'),
         'turns': kinds.count('stream'),
-        'refusals': sum(one in _PROMISES_NOT_RUN for one in statuses),
+        'refusals': sum(
+            status in _NOT_EXECUTED_STATUSES for status in statuses
+        ),
         'chained turns': sum(
-            bool(one.previous) for one in history.sent.values()
+            bool(record.previous) for record in history.sent.values()
         ),
-        'programs': len({one.program for one in history.sent.values()}),
+        'programs': len({record.program for record in history.sent.values()}),
         'leaving servers': len(history.leaving),
         'configurations': len(history.accepted),
         'keys taken away': len({k for a in history.accepted for k in a.keys})
         - len(organisations.NAMES),
         'refused over the limit': statuses.count(429),
-        'planned stops': sum(one.event == 'told' for one in history.processes),
+        'planned stops': sum(
+            record.event == 'told' for record in history.processes
+        ),
     }
--- a/libs/soak/vanillayoke/soak/demo.py
+++ b/libs/soak/vanillayoke/soak/demo.py
@@ -33,7 +33,7 @@
     f'{PROGRAM}.0',
     'chat',
     1000,
-    organisations.Keys().find(ORGANISATION),
+    organisations.Keys().get_key(ORGANISATION),
 )
 # Events come slowly enough to kill an instance between two of them. Seconds.
 GAP = 0.2
@@ -60,8 +60,8 @@
             self.site.list_directories,
             self.site.find_door,
             lambda: self.site.version,
-            self.site.keys.find,
-            self.history.take,
+            self.site.keys.get_key,
+            self.history.add,
             random.Random(1),
             given_up=0.0,
         )
@@ -92,7 +92,7 @@
         )
         await asyncio.sleep(0.5)
         for record in self.site.collect():
-            self.history.take(record)
+            self.history.add(record)
         return self._judge()
 
     async def _turn(self, previous: str) -> str:
@@ -144,7 +144,7 @@
         self._cut_off += host == self._find_server()
         # What an instance was granted dies with it, and counts as used.
         now = control.read_now()
-        self.history.take(records.Disturbed(now, now, 'kill', name))
+        self.history.add(records.Disturbed(now, now, 'kill', name))
         print(f'Killed {name} half-way.', flush=True)
         self.site.instances[host].signal(signal.SIGKILL)
         return await turn
--- a/libs/soak/vanillayoke/soak/histories.py
+++ b/libs/soak/vanillayoke/soak/histories.py
@@ -1,18 +1,20 @@
-"""All records of a run, indexed, and what can be read from them."""
+"""Indexes the records of a run for the checks."""
 
 import collections
 import typing
 
 from vanillayoke.soak import records
 
-# An instance is itself again so long after a fault. Seconds.
-CONTACT = 3.0
-# Families of faults that may keep a version from an instance.
-PLAIN = frozenset(('kill', 'freeze', 'link', 'store', 'server'))
+# Effects of a fault on an instance may last this long after its end.
+FAULT_AFTERMATH_SECONDS = 3.0
+# Kinds of faults that may keep updates from an instance.
+UPDATE_BLOCKING_KINDS = frozenset(
+    ('kill', 'freeze', 'link', 'store', 'server')
+)
 
 
 class History:
-    """All records of a run, indexed for the checks."""
+    """The records of a run, by request, server or kind."""
 
     def __init__(self, bounds: records.Bounds) -> None:
         self.bounds = bounds
@@ -26,8 +28,8 @@
         self.processes: list[records.Process] = []
         self.disturbed: list[records.Disturbed] = []
 
-    def take(self, record: records.Record) -> None:
-        """Add one record."""
+    def add(self, record: records.Record) -> None:
+        """Add a record."""
         match record:
             case records.Sent():
                 self.sent[record.request] = record
@@ -45,28 +47,31 @@
                 self.disturbed.append(record)
 
     def list_pairs(
-        self, settled: float
+        self, cutoff: float
     ) -> typing.Iterator[tuple[records.Sent, records.Answered]]:
-        """Yield the requests that were over before a time."""
+        """Yield requests that ended by ``cutoff`` with their responses."""
         for name, answered in self.answered.items():
             sent = self.sent.get(name)
-            if sent is not None and answered.at <= settled:
+            if sent is not None and answered.at <= cutoff:
                 yield sent, answered
 
     def is_disturbed(
         self, since: float, until: float, kinds: frozenset[str]
     ) -> bool:
-        """Say whether a fault of these kinds was in force, or just before."""
+        """Return whether faults of these kinds affect an interval.
+
+        A fault counts for ``FAULT_AFTERMATH_SECONDS`` after its end as well.
+        """
         return any(
-            one.kind.split('_')[0] in kinds
-            and one.at <= until
-            and one.until + CONTACT >= since
-            for one in self.disturbed
+            record.kind.split('_')[0] in kinds
+            and record.at <= until
+            and record.until + FAULT_AFTERMATH_SECONDS >= since
+            for record in self.disturbed
         )
 
 
-def read_events(body: str) -> list[tuple[int, str]]:
-    """Return numbers and data of the whole events in a stream's body."""
+def parse_events(body: str) -> list[tuple[int, str]]:
+    """Return the numbers and data of the complete events in a body."""
     events = []
     for block in body.split('\n\n')[:-1]:
         number, data = 0, ''
@@ -80,19 +85,22 @@
     return events
 
 
-def find_chain(history: History, turn: str) -> str:
-    """Return all text up to and with a turn."""
+def build_chain_text(history: History, turn: str) -> str:
+    """Return the text of a chain up to and including a turn."""
     texts = []
     while turn:
         sent = history.sent[turn]
         answered = history.answered[turn]
-        data = ''.join(f'{data}\n' for _, data in read_events(answered.body))
+        data = ''.join(f'{data}\n' for _, data in parse_events(answered.body))
         texts.append(sent.body + data)
         turn = sent.previous
     return ''.join(reversed(texts))
 
 
-def find_version(sent: records.Sent) -> int:
-    """Return the version whose own route a request uses, 0 for others."""
+def parse_version(sent: records.Sent) -> int:
+    """Return the version whose route a request uses.
+
+    Returns 0 if the route doesn't belong to a version.
+    """
     route = sent.target.split('/')[1]
     return int(route[1:]) if route[1:].isdigit() else 0
--- a/libs/soak/vanillayoke/soak/runs.py
+++ b/libs/soak/vanillayoke/soak/runs.py
@@ -61,8 +61,8 @@
             site.list_directories,
             site.find_door,
             lambda: site.version,
-            site.keys.find,
-            self._history.take,
+            site.keys.get_key,
+            self._history.add,
             self._source,
         )
         try:
@@ -100,11 +100,11 @@
 
     def _check(self) -> None:
         for record in self._site.collect():
-            self._history.take(record)
-        settled = control.read_now() - SETTLING
+            self._history.add(record)
+        cutoff = control.read_now() - SETTLING
         if not self._violations:
             self._violations = checks.check_all(
-                self._history, settled, self._is_timed
+                self._history, cutoff, self._is_timed
             )
 
     async def _stop_instances(self) -> None:
@@ -142,7 +142,7 @@
     async def _cause(self, fault: plans.Fault, began: float) -> None:
         await asyncio.sleep(max(0.0, began + fault.at - control.read_now()))
         now = control.read_now()
-        self._history.take(
+        self._history.add(
             records.Disturbed(
                 now,
                 now + fault.seconds,
@@ -161,10 +161,12 @@
             case 'link' | 'caller':
                 await self._hit_link(fault, what)
             case 'configure' if what == 'keys':
-                self._site.keys.take_away(fault.subject)
+                self._site.keys.rotate_key(fault.subject)
                 self._site.configure()
             case 'configure' if what == 'limit':
-                self._site.keys.is_lowered = not self._site.keys.is_lowered
+                self._site.keys.is_limit_lowered = (
+                    not self._site.keys.is_limit_lowered
+                )
                 self._site.configure()
             case 'configure':
                 if fault.kind == plans.MANY_ROUTES_KIND:
--- a/libs/soak/vanillayoke/soak/sites.py
+++ b/libs/soak/vanillayoke/soak/sites.py
@@ -193,7 +193,7 @@
             self.version,
             routes,
             TOOL_SERVICES,
-            self.keys.list_organisations(),
+            self.keys.make_organisations(),
         )
         services = {
             'chat': 'models', 'plan': 'models', 'look': tools, 'order': tools,
@@ -203,7 +203,7 @@
             self.version,
             services,
             tuple(self.keys.list_keys()),
-            self.keys.find_limit(),
+            self.keys.compute_limit(),
         )
         self.store.order(control.Put('op', 'config', content, record))
 
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -1,8 +1,4 @@
-"""Tests that each check of the soak finds what it is there for.
-
-A check that cannot fail proves nothing: each is shown a history in which its
-promise holds and the same one with one thing wrong.
-"""
+"""Tests that each check reports violations and accepts valid histories."""
 
 from vanillayoke.soak import checks
 from vanillayoke.soak import histories
@@ -23,8 +19,8 @@
 
 
 def _turn(request, at=1.0, **more):
-    found = {'program': 'p1', 'budget': 100, 'most': 40, **more}
-    return _send(request, 'stream', 'chat', at, **found)
+    fields = {'program': 'p1', 'budget': 100, 'most': 40, **more}
+    return _send(request, 'stream', 'chat', at, **fields)
 
 
 def _answer(request, status=200, body=None, at=2.0, is_whole=True):
@@ -33,8 +29,12 @@
 
 
 def _start(request, server='s1', service='a', at=1.1, **more):
-    found = {'method': 'POST', 'target': '/order/x', 'body': f'in {request};'}
-    return records.Started(at, server, service, request, **{**found, **more})
+    fields = {
+        'method': 'POST',
+        'target': '/order/x',
+        'body': f'in {request};',
+    }
+    return records.Started(at, server, service, request, **{**fields, **more})
 
 
 def _start_turn(request, body=None, at=1.1):
@@ -46,12 +46,12 @@
     return ''.join(f'id: {n}\ndata: {request}:{n}\n\n' for n in numbers)
 
 
-def _check(*found, settled=100.0):
+def _check(*added, cutoff=100.0):
     history = histories.History(BOUNDS)
-    history.take(records.Accepted(0.0, 1, SERVICES))
-    for record in found:
-        history.take(record)
-    return [one.promise for one in checks.check_all(history, settled)]
+    history.add(records.Accepted(0.0, 1, SERVICES))
+    for record in added:
+        history.add(record)
+    return [one.promise for one in checks.check_all(history, cutoff)]
 
 
 GOOD = (_send('a'), _start('a'), _answer('a'))
@@ -66,7 +66,7 @@
     case.assertEqual([], _check(*GOOD, *GOOD_TURN))
 
 
-def test_order_that_ran_twice_is_found(case):
+def test_unsafe_call_that_ran_twice_is_found(case):
     case.assertEqual(['at most once'], _check(*GOOD, _start('a', 's2')))
 
 
@@ -79,13 +79,13 @@
     case.assertEqual([], _check(sent, *runs, _answer('a', body='done ')))
 
 
-def test_refusal_of_what_ran_is_found(case):
-    """A caller is told "not run" and places its order again."""
+def test_refusal_of_a_request_that_ran_is_found(case):
+    """A caller would repeat a request that has run."""
     found = _check(_send('a'), _answer('a', 503, ''), _start('a', at=3.0))
     case.assertEqual(['true refusal'], found)
 
 
-def test_refusal_of_a_repeatable_request_has_to_be_true_too(case):
+def test_refusal_of_a_safe_request_that_ran_is_found(case):
     sent = _send('a', 'safe', 'look')
     run = _start('a', method='GET', target='/look/x', body='')
     case.assertEqual(
@@ -93,28 +93,28 @@
     )
 
 
-def test_answer_to_another_request_is_found(case):
+def test_response_to_another_request_is_found(case):
     wrong = _answer('a', body='done in b;')
     case.assertEqual(['own answer'], _check(_send('a'), _start('a'), wrong))
 
 
-def test_answer_that_no_server_gave_is_found(case):
+def test_response_without_a_run_is_found(case):
     case.assertEqual(['own answer'], _check(_send('a'), _answer('a')))
 
 
-def test_stream_with_a_piece_twice_is_found(case):
+def test_stream_with_a_repeated_event_is_found(case):
     answer = _answer('t1', body=_stream('t1', (1, 2, 2, 3)))
     found = _check(_turn('t1'), _start_turn('t1'), answer)
     case.assertEqual(['order of a stream'], found)
 
 
-def test_stream_that_ends_early_as_whole_is_found(case):
+def test_short_stream_reported_as_complete_is_found(case):
     answer = _answer('t1', body=_stream('t1', (1, 2)))
     found = _check(_turn('t1'), _start_turn('t1'), answer)
     case.assertEqual(['whole answer'], found)
 
 
-def test_stream_that_broke_off_may_be_short(case):
+def test_interrupted_stream_may_be_short(case):
     answer = _answer('t1', body=_stream('t1', (1, 2)), is_whole=False)
     case.assertEqual([], _check(_turn('t1'), _start_turn('t1'), answer))
 
@@ -131,19 +131,19 @@
     case.assertEqual(['history'], _check(*_make_second('in t2;')))
 
 
-def test_kept_turn_that_is_said_to_be_unknown_is_found(case):
+def test_stored_turn_reported_as_unknown_is_found(case):
     sent = _turn('t2', at=3.0, previous='t1')
     found = _check(*GOOD_TURN, sent, _answer('t2', 404, '', at=4.0))
     case.assertEqual(['history kept'], found)
 
 
-def test_proper_route_that_is_denied_is_found(case):
+def test_denied_route_in_force_is_found(case):
     found = _check(_send('a'), _answer('a', 404, ''))
     case.assertEqual(['no denial'], found)
 
 
-def test_budget_that_is_overrun_is_found(case):
-    """Four turns of 40 tokens under a budget of 100: one too many."""
+def test_exceeded_budget_is_found(case):
+    """The fourth turn of 40 tokens exceeds a budget of 100."""
     found = []
     for number in range(1, 5):
         name = f't{number}'
@@ -153,29 +153,27 @@
     case.assertEqual([], _check(*found[:9]))
 
 
-def test_budget_that_is_withheld_is_found(case):
-    """One turn of 40 tokens ran, and a second one is refused.
+def test_withheld_budget_is_found(case):
+    """A second turn of 40 tokens is refused although it fits.
 
-    A budget of 80 holds both; of turns that may get credit 40 more may have
-    been charged for it. A first turn always fits. Where an instance was
-    killed or the store was in trouble meanwhile, what it had been granted or
-    charged may be lost.
+    Turns that may get credit need room for one more charge, and faults that
+    lose grants excuse the refusal.
     """
 
-    def refuse(budget, *others, may_owe=False):
+    def refuse(budget, *others, allow_credit=False):
         whole = (
-            _turn('t1', budget=budget, is_resumable=may_owe),
+            _turn('t1', budget=budget, is_resumable=allow_credit),
             _start_turn('t1'),
             _answer('t1', body=_stream('t1')),
         )
-        refused = _turn('t2', at=3.0, budget=budget, is_resumable=may_owe)
+        refused = _turn('t2', at=3.0, budget=budget, is_resumable=allow_credit)
         answer = _answer('t2', 402, '', at=4.0)
         return _check(*whole, refused, answer, *others)
 
     case.assertEqual(['budget not withheld'], refuse(80))
     case.assertEqual([], refuse(79))
-    case.assertEqual(['budget not withheld'], refuse(120, may_owe=True))
-    case.assertEqual([], refuse(100, may_owe=True))
+    case.assertEqual(['budget not withheld'], refuse(120, allow_credit=True))
+    case.assertEqual([], refuse(100, allow_credit=True))
     for kind in ('kill', 'store_mute'):
         fault = records.Disturbed(0.5, 1.5, kind, 'i1')
         case.assertEqual([], refuse(120, fault))
@@ -183,7 +181,7 @@
     case.assertEqual(['budget not withheld'], _check(*first))
 
 
-def test_work_for_a_server_that_left_is_found(case):
+def test_request_to_a_drained_server_is_found(case):
     late = 0.5 + BOUNDS.leaving + BOUNDS.slack + 0.1
     leaving = records.Leaving(0.5, 's1')
     sent = _send('a', at=late)
@@ -194,18 +192,18 @@
     case.assertEqual([], _check(leaving, *GOOD))
 
 
-MOVED = records.Accepted(0.5, 2, {**SERVICES, 'order': 'b'})
+REROUTED = records.Accepted(0.5, 2, {**SERVICES, 'order': 'b'})
 
 
-def test_old_configuration_is_found(case):
+def test_outdated_configuration_is_found(case):
     late = 0.5 + BOUNDS.configuration + BOUNDS.slack + 0.1
     old = (
         _send('a', at=late),
         _start('a', at=late),
         _answer('a', at=late + 1),
     )
-    case.assertEqual(['configuration'], _check(MOVED, *old))
-    case.assertEqual([], _check(MOVED, *GOOD))
+    case.assertEqual(['configuration'], _check(REROUTED, *old))
+    case.assertEqual([], _check(REROUTED, *GOOD))
 
 
 def _probe(request, version, status, at):
@@ -217,8 +215,8 @@
     return (sent, run, answer) if status == 200 else (sent, answer)
 
 
-def test_going_back_to_an_old_configuration_is_found(case):
-    """A process serves a new route and denies it a moment later."""
+def test_configuration_rollback_is_found(case):
+    """A process denies a route that it has served."""
     second = records.Accepted(0.5, 2, SERVICES)
     new = _probe('b', 2, 200, 0.6)
     case.assertEqual([], _check(second, *new))
@@ -227,14 +225,14 @@
     )
 
 
-def test_new_route_may_be_unknown_for_a_while(case):
+def test_new_route_may_be_unknown_until_propagated(case):
     second = records.Accepted(0.5, 2, SERVICES)
     case.assertEqual([], _check(second, *_probe('b', 2, 404, 0.6)))
     late = 0.6 + BOUNDS.configuration + BOUNDS.slack
     case.assertEqual(['no denial'], _check(second, *_probe('b', 2, 404, late)))
 
 
-def test_work_that_nobody_asked_for_is_found(case):
+def test_request_that_no_caller_sent_is_found(case):
     found = _check(_start('z'))
     case.assertEqual(['unasked'], found)
 
@@ -244,7 +242,7 @@
     case.assertEqual(['unasked'], found)
 
 
-def test_stop_that_takes_too_long_is_found(case):
+def test_slow_or_failed_stop_is_found(case):
     def stop(status, seconds):
         return (
             records.Process(1.0, 'i1', 'told'),
@@ -256,31 +254,31 @@
     case.assertEqual(['graceful stop', 'no crash'], _check(*stop(1, 1.0)))
 
 
-def test_process_that_ends_by_itself_is_found(case):
+def test_crash_is_found(case):
     case.assertEqual(
         ['no crash'], _check(records.Process(1.0, 'i1', 'ended', 1))
     )
     case.assertEqual([], _check(records.Process(1.0, 'i1', 'ended', -9)))
 
 
-def test_stop_in_the_middle_of_a_start_is_no_crash(case):
-    """The signal came before the process could take it."""
+def test_sigterm_during_startup_is_no_crash(case):
+    """SIGTERM terminates a process without a signal handler."""
     ended = records.Process(1.3, 'i1', 'ended', -15)
     young = records.Process(1.0, 'i1', 'started')
-    case.assertEqual([], _check(young, _tell(1.2), ended))
+    case.assertEqual([], _check(young, _request_stop(1.2), ended))
     old = records.Process(-9.0, 'i1', 'started')
-    case.assertEqual(['no crash'], _check(old, _tell(1.2), ended))
+    case.assertEqual(['no crash'], _check(old, _request_stop(1.2), ended))
 
 
-def _tell(at):
+def _request_stop(at):
     return records.Process(at, 'i1', 'told')
 
 
-def test_service_that_does_not_come_back_is_found(case):
+def test_missing_recovery_is_found(case):
     fault = records.Disturbed(1.0, 2.0, 'kill', 'i1')
     at = 2.0 + BOUNDS.recovery + 1
     found = [fault]
-    for number in range(checks.FEWEST_AFTER):
+    for number in range(checks.MIN_REQUEST_COUNT):
         name = f'a{number}'
         found += [_send(name, at=at), _answer(name, 502, '', at=at + 1)]
     case.assertEqual(['recovery'], _check(*found))
@@ -294,7 +292,7 @@
     return records.Accepted(at, version, SERVICES, keys, limit)
 
 
-def test_name_of_another_organisation_is_found(case):
+def test_wrong_organisation_at_a_server_is_found(case):
     sent, run = _send_as('red-1'), _start('a', organisation='red')
     case.assertEqual(
         [], _check(_accept(0.0, 1, 'red-1'), sent, run, _answer('a'))
@@ -309,18 +307,18 @@
     case.assertEqual(['own name'], found)
 
 
-def test_key_that_goes_on_behind_its_bound_is_found(case):
-    taken = (_accept(0.0, 1, 'red-1'), _accept(5.0, 2, 'red-2'))
-    for at, wanted in ((7.0, []), (9.0, ['key in force'])):
+def test_replaced_key_accepted_too_long_is_found(case):
+    versions = (_accept(0.0, 1, 'red-1'), _accept(5.0, 2, 'red-2'))
+    for at, expected in ((7.0, []), (9.0, ['key in force'])):
         sent = _send_as('red-1', at=at)
         run = _start('a', at=at + 0.1, organisation='red')
         answer = _answer('a', at=at + 0.2)
-        case.assertEqual(wanted, _check(*taken, sent, run, answer))
+        case.assertEqual(expected, _check(*versions, sent, run, answer))
 
 
-def test_window_over_the_limit_is_found(case):
+def test_exceeded_limit_is_found(case):
     accepted = _accept(0.0, 1, 'tight-1', limit=10.0)
-    for count, wanted in ((30, []), (32, ['limit'])):
+    for count, expected in ((30, []), (32, ['limit'])):
         found = [accepted]
         for number in range(count):
             at = 10.0 + number * 0.1
@@ -328,7 +326,7 @@
             found.append(_send_as('tight-1', name, at))
             found.append(_start(name, at=at, organisation='tight'))
             found.append(_answer(name, at=at))
-        case.assertEqual(wanted, _check(*found))
+        case.assertEqual(expected, _check(*found))
 
 
 load_tests = fixtures.adapt(__name__)
