--- a/libs/soak/vanillayoke/soak/__init__.py
+++ b/libs/soak/vanillayoke/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Random faults on real processes, checked from outside."""
+"""Randomized fault tests on real processes, and a demo."""
--- a/libs/soak/vanillayoke/soak/__main__.py
+++ b/libs/soak/vanillayoke/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The soak's command: plays seeds, replays and shortens those that fail."""
+"""Runs seeds of the soak; replays and minimises failing runs."""
 
 import asyncio
 import pathlib
@@ -17,29 +17,33 @@
 from vanillayoke.soak import sites
 
 FLAGS = flags.FLAGS
-flags.DEFINE_list('seeds', [], 'Seeds to play; drawn from the time if none.')
-flags.DEFINE_integer('count', 1, 'Seeds to play where none are named.')
-flags.DEFINE_float('minutes', 0.0, 'Play drawn seeds for so long.')
-flags.DEFINE_integer('processes', 13, 'Processes of a run, about.')
-flags.DEFINE_integer('jobs', 1, 'Runs beside one another.')
-flags.DEFINE_float('faulty', 20.0, 'Seconds of a run with faults.')
-flags.DEFINE_float('calm', 17.0, 'Seconds behind them, without.')
-flags.DEFINE_string('replay', None, 'A folder of a run that failed.')
-flags.DEFINE_bool('minimise', False, 'Drop faults while the failure stays.')
+flags.DEFINE_list('seeds', [], 'Seeds to run; derived from the time if none.')
+flags.DEFINE_integer('count', 1, 'Number of seeds to run if none are given.')
+flags.DEFINE_float('minutes', 0.0, 'Run further seeds for this many minutes.')
+flags.DEFINE_integer(
+    'processes', 13, 'Approximate number of processes of a run.'
+)
+flags.DEFINE_integer('jobs', 1, 'Number of concurrent runs.')
+flags.DEFINE_float('faulty', 20.0, 'Seconds during which faults are injected.')
+flags.DEFINE_float('calm', 17.0, 'Seconds without faults after that.')
+flags.DEFINE_string('replay', None, 'Folder of a failed run to replay.')
+flags.DEFINE_bool(
+    'minimise', False, 'Remove faults while the run still fails.'
+)
 flags.DEFINE_bool(
-    'timed', True, 'Also check what holds within times; not on busy machines.'
+    'timed', True, 'Also run checks with time limits; not for busy machines.'
 )
-flags.DEFINE_string('folder', 'build/soak', 'Where runs that fail are kept.')
+flags.DEFINE_string('folder', 'build/soak', 'Where failed runs are kept.')
 
 PLAN_FILE = 'plan.json'
-VERDICT_FILE = 'verdict.json'
-# Processes of a run beside its instances: store, links, servers.
-OTHERS = 9
-FAILED = 1
+RESULT_FILE = 'verdict.json'
+# The store, the proxy and the servers.
+OTHER_PROCESS_COUNT = 9
+EXIT_FAILED = 1
 
 
 def main(arguments: list[str]) -> int:
-    """Play what the flags say; return 1 if a promise was broken."""
+    """Run what the flags say; return 1 if there are violations."""
     if FLAGS.replay:
         return _replay(pathlib.Path(FLAGS.replay))
     began = time.monotonic()
@@ -50,19 +54,19 @@
         seeds = list(range(first, first + FLAGS.count))
     results = []
     while seeds:
-        results += asyncio.run(_play_all(seeds))
+        results += asyncio.run(_run_all(seeds))
         is_over = time.monotonic() - began >= FLAGS.minutes * 60
         seeds = [] if is_over else [seed + len(seeds) for seed in seeds]
-    _report(results)
-    return FAILED if any(one.violations for one in results) else 0
+    _print_summary(results)
+    return EXIT_FAILED if any(result.violations for result in results) else 0
 
 
-async def _play_all(seeds: list[int]) -> list[runs.Result]:
-    places = asyncio.Semaphore(FLAGS.jobs)
+async def _run_all(seeds: list[int]) -> list[runs.Result]:
+    semaphore = asyncio.Semaphore(FLAGS.jobs)
 
-    async def play(number: int, seed: int) -> runs.Result:
-        async with places:
-            instances = max(2, FLAGS.processes - OTHERS)
+    async def run(number: int, seed: int) -> runs.Result:
+        async with semaphore:
+            instances = max(2, FLAGS.processes - OTHER_PROCESS_COUNT)
             plan = plans.generate_plan(
                 seed,
                 instances,
@@ -70,22 +74,22 @@
                 faulty=FLAGS.faulty,
                 calm=FLAGS.calm,
             )
-            return await play_plan(plan, number)
+            return await run_plan(plan, number)
 
     return await asyncio.gather(
-        *(play(number, seed) for number, seed in enumerate(seeds))
+        *(run(number, seed) for number, seed in enumerate(seeds))
     )
 
 
-async def play_plan(plan: plans.Plan, number: int = 0) -> runs.Result:
-    """Play a plan; keep its folder if a promise was broken."""
+async def run_plan(plan: plans.Plan, number: int = 0) -> runs.Result:
+    """Run a plan; keep its folder if there are violations."""
     folder = pathlib.Path(FLAGS.folder) / f'seed-{plan.seed}'
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     (folder / PLAN_FILE).write_bytes(msgspec.json.encode(plan))
     network = sites.choose_network(number)
-    result = await runs.Run(plan, folder, network, FLAGS.timed).play()
-    (folder / VERDICT_FILE).write_bytes(msgspec.json.encode(result))
+    result = await runs.Run(plan, folder, network, FLAGS.timed).run()
+    (folder / RESULT_FILE).write_bytes(msgspec.json.encode(result))
     _print_result(result)
     if not result.violations:
         shutil.rmtree(folder)
@@ -95,16 +99,16 @@
 def _replay(folder: pathlib.Path) -> int:
     data = (folder / PLAN_FILE).read_bytes()
     plan = msgspec.json.decode(data, type=plans.Plan)
-    result = asyncio.run(play_plan(plan))
+    result = asyncio.run(run_plan(plan))
     if result.violations and FLAGS.minimise:
         _minimise(plan)
-    return FAILED if result.violations else 0
+    return EXIT_FAILED if result.violations else 0
 
 
 def _minimise(plan: plans.Plan) -> None:
-    """Drop faults one group after another while the run still fails."""
+    """Remove groups of faults while the run still fails."""
     for reduction in plans.list_reductions(plan):
-        result = asyncio.run(play_plan(reduction))
+        result = asyncio.run(run_plan(reduction))
         if result.violations:
             print(f'still fails with {len(reduction.faults)} faults')
             _minimise(reduction)
@@ -115,18 +119,20 @@
 
 
 def _print_result(result: runs.Result) -> None:
-    verdict = 'held' if not result.violations else 'BROKEN'
+    outcome = 'held' if not result.violations else 'BROKEN'
     print(
-        f'seed {result.seed}: {verdict}; {sum(result.faults.values())} faults,'
+        f'seed {result.seed}: {outcome}; {sum(result.faults.values())} faults,'
         f' {result.requests} requests, {result.served} served',
         flush=True,
     )
-    for one in result.violations[:10]:
-        print(f'  {one.promise}: {one.subject}: {one.detail}')
+    for violation in result.violations[:10]:
+        print(
+            f'  {violation.guarantee}: {violation.subject}: {violation.detail}'
+        )
 
 
-def _report(results: list[runs.Result]) -> None:
-    """Print the sums over all runs."""
+def _print_summary(results: list[runs.Result]) -> None:
+    """Print totals of all runs."""
     faults: dict[str, int] = {}
     checked: dict[str, int] = {}
     for result in results:
@@ -138,7 +144,7 @@
         'faults: ' + ', '.join(f'{k} {n}' for k, n in sorted(faults.items()))
     )
     print('looked at: ' + ', '.join(f'{k} {n}' for k, n in checked.items()))
-    failed = sum(bool(one.violations) for one in results)
+    failed = sum(bool(result.violations) for result in results)
     print(f'{len(results) - failed} passed, {failed} failed')
 
 
--- a/libs/soak/vanillayoke/soak/callers.py
+++ b/libs/soak/vanillayoke/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers as the users describe them: programs, tools, retries, open ends."""
+"""Emulates callers: programs with turns, tool calls and retries."""
 
 import asyncio
 import itertools
@@ -11,25 +11,24 @@
 from vanillayoke.standins import calls
 from vanillayoke.transport import client
 
-EVENTS = 4
-TURN_TOKENS = EVENTS * records.Bounds().event_tokens
-# Share of programs that loop until their budget stops them, of turns that
-# hand work to sub-agents, and of requests whose caller leaves.
-RUNAWAYS = 0.05
-FAN_OUTS = 0.1
-GIVEN_UP = 0.03
-HELPERS = 3
-# A budget for one turn and most of another, of programs that come back so
-# often: what is lost of it on the way shows at once.
+EVENT_COUNT = 4
+TURN_TOKENS = EVENT_COUNT * records.Bounds().event_tokens
+# The ratios of programs that loop until their budget is exhausted, of turns
+# that start sub-agents, and of requests whose caller disconnects early.
+RUNAWAY_RATIO = 0.05
+FAN_OUT_RATIO = 0.1
+ABANDON_RATIO = 0.03
+SUB_AGENT_COUNT = 3
+# Less than two turns, so that a loss of tokens leads to a refusal.
 SMALL_BUDGET = TURN_TOKENS * 7 // 4
-MOST_RETURNS = 8
+MAX_RESUME_ATTEMPTS = 8
 DEADLINE_MS = 3000
-_PROMISES = frozenset((408, 421, 429, 503))
-_FINAL = frozenset((200, 400, 401, 402, 404, 413, 431, 500))
+_NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
+_FINAL_STATUSES = frozenset((200, 400, 401, 402, 404, 413, 431, 500))
 
 
-class Line(typing.NamedTuple):
-    """A line of turns: a program's own, or a sub-agent's."""
+class Conversation(typing.NamedTuple):
+    """A sequence of turns of a program or one of its sub-agents."""
 
     program: str
     session: str
@@ -39,172 +38,198 @@
 
 
 class Callers:
-    """Runs programs against the instances and records what comes back."""
+    """Runs programs and records their requests and responses."""
 
     def __init__(
         self,
         list_directories: typing.Callable[[], list[str]],
-        find_door: typing.Callable[[str], str],
-        find_version: typing.Callable[[], int],
-        find_key: typing.Callable[[str], str],
-        take: typing.Callable[[records.Record], None],
-        source: random.Random,
-        given_up: float = GIVEN_UP,
+        find_caller_link: typing.Callable[[str], str],
+        get_version: typing.Callable[[], int],
+        get_key: typing.Callable[[str], str],
+        add_record: typing.Callable[[records.Record], None],
+        rng: random.Random,
+        abandon_ratio: float = ABANDON_RATIO,
     ) -> None:
         self._list_directories = list_directories
-        self._find_door = find_door
-        self._find_version = find_version
-        self._find_key = find_key
-        self._take = take
-        self._source = source
-        self.given_up = given_up
+        self._find_caller_link = find_caller_link
+        self._get_version = get_version
+        self._get_key = get_key
+        self._add_record = add_record
+        self._rng = rng
+        self.abandon_ratio = abandon_ratio
         self._numbers = itertools.count(1)
-        # Turns that may be gone on from, by organisation.
-        self._kept: dict[str, list[str]] = {}
+        # By organisation.
+        self._completed_turns: dict[str, list[str]] = {}
         self.is_over = False
 
     async def run(self) -> None:
-        """Run one program after another until told to end."""
+        """Run programs until ``is_over`` is set."""
         caller = Caller(self)
         try:
             while not self.is_over:
                 await self._run_program(caller)
-                await asyncio.sleep(self._source.uniform(0, 0.2))
+                await asyncio.sleep(self._rng.uniform(0, 0.2))
         finally:
             caller.pool.close()
 
     async def _run_program(self, caller: 'Caller') -> None:
-        source = self._source
+        rng = self._rng
         number = next(self._numbers)
         organisation = organisations.NAMES[number % len(organisations.NAMES)]
-        # Held on to, also where it is taken away.
-        key = self._find_key(organisation)
-        # Two organisations choose the same names for their programs.
+        # Programs keep their key, even after it is replaced.
+        key = self._get_key(organisation)
+        # Organisations use the same program names.
         program = f'p{number // len(organisations.NAMES)}'
-        route = source.choice(('chat', 'chat', 'plan'))
-        turns = source.randint(2, 5)
-        is_runaway = source.random() < RUNAWAYS
-        budget = (turns + HELPERS * 2) * TURN_TOKENS
+        route = rng.choice(('chat', 'chat', 'plan'))
+        turns = rng.randint(2, 5)
+        is_runaway = rng.random() < RUNAWAY_RATIO
+        budget = (turns + SUB_AGENT_COUNT * 2) * TURN_TOKENS
         previous = ''
-        kept = self._kept.get(organisation)
-        if route == 'chat' and kept and source.random() < 0.1:
-            line = Line(program, '0', 'chat', SMALL_BUDGET, key)
-            await self._come_back(caller, line, source.choice(kept))
+        completed_turns = self._completed_turns.get(organisation)
+        if route == 'chat' and completed_turns and rng.random() < 0.1:
+            conversation = Conversation(
+                program, '0', 'chat', SMALL_BUDGET, key
+            )
+            await self._resume_turn(
+                caller, conversation, rng.choice(completed_turns)
+            )
             return
         number = 0
         while (is_runaway or number < turns) and not self.is_over:
             number += 1
-            line = Line(program, f'{program}.0', route, budget, key)
-            done = await self.run_turn(caller, line, previous)
-            if done is None:
+            conversation = Conversation(
+                program, f'{program}.0', route, budget, key
+            )
+            completed = await self.run_turn(caller, conversation, previous)
+            if completed is None:
                 return
-            previous = done if route == 'chat' else ''
-            await self._use_tools(caller, line)
-            if source.random() < FAN_OUTS:
-                await self._fan_out(line, previous)
+            previous = completed if route == 'chat' else ''
+            await self._use_tools(caller, conversation)
+            if rng.random() < FAN_OUT_RATIO:
+                await self._fan_out(conversation, previous)
 
-    async def _come_back(
-        self, caller: 'Caller', line: Line, previous: str
+    async def _resume_turn(
+        self, caller: 'Caller', conversation: Conversation, previous: str
     ) -> None:
-        """Go on from a turn of an earlier program, until that is served."""
-        for _ in range(MOST_RETURNS):
-            if self.is_over or await self.run_turn(caller, line, previous):
+        """Continue from another program's turn until that succeeds."""
+        for _ in range(MAX_RESUME_ATTEMPTS):
+            if self.is_over or await self.run_turn(
+                caller, conversation, previous
+            ):
                 return
-            await asyncio.sleep(self._source.uniform(0.1, 0.4))
+            await asyncio.sleep(self._rng.uniform(0.1, 0.4))
 
-    async def _fan_out(self, line: Line, previous: str) -> None:
-        async def help_out(number: int) -> None:
+    async def _fan_out(
+        self, conversation: Conversation, previous: str
+    ) -> None:
+        async def run_sub_agent(number: int) -> None:
             caller = Caller(self)
             last: str | None = previous
-            own = line._replace(session=f'{line.program}.{number}')
+            sub_conversation = conversation._replace(
+                session=f'{conversation.program}.{number}'
+            )
             for _ in range(2):
-                last = await self.run_turn(caller, own, last or '')
+                last = await self.run_turn(
+                    caller, sub_conversation, last or ''
+                )
                 if last is None:
                     break
-                last = last if line.route == 'chat' else ''
+                last = last if conversation.route == 'chat' else ''
             caller.pool.close()
 
-        await asyncio.gather(*(help_out(n) for n in range(1, HELPERS + 1)))
+        await asyncio.gather(
+            *(run_sub_agent(n) for n in range(1, SUB_AGENT_COUNT + 1))
+        )
 
     async def run_turn(
-        self, caller: 'Caller', line: Line, previous: str
+        self, caller: 'Caller', conversation: Conversation, previous: str
     ) -> str | None:
-        """Return the turn's request, ``None`` if the program has ended."""
+        """Run a turn and return its request, or ``None`` if it failed."""
         for _ in range(3):
             answered = await self.call(
                 caller,
-                line.route,
+                conversation.route,
                 'stream',
-                line,
-                session=line.session,
-                budget=line.budget,
+                conversation,
+                session=conversation.session,
+                budget=conversation.budget,
                 previous=previous,
             )
             if answered.status == 200 and answered.is_whole:
-                if line.route == 'chat':
-                    organisation = organisations.parse_organisation(line.key)
-                    kept = self._kept.setdefault(organisation, [])
-                    kept.append(answered.request)
-                    del kept[:-50]
+                if conversation.route == 'chat':
+                    organisation = organisations.parse_organisation(
+                        conversation.key
+                    )
+                    completed_turns = self._completed_turns.setdefault(
+                        organisation, []
+                    )
+                    completed_turns.append(answered.request)
+                    del completed_turns[:-50]
                 return answered.request
-            if answered.status in _FINAL and answered.is_whole:
+            if answered.status in _FINAL_STATUSES and answered.is_whole:
                 return None
-            await asyncio.sleep(self._source.uniform(0.1, 0.4))
+            await asyncio.sleep(self._rng.uniform(0.1, 0.4))
         return None
 
-    async def _use_tools(self, caller: 'Caller', line: Line) -> None:
-        await self.call(caller, 'look', 'safe', line)
-        # Shows which configuration is in force where it is sent.
-        newest = f'n{max(1, self._find_version())}'
-        await self._try(caller, newest, 'safe', line)
-        if self._source.random() < 0.5:
-            await self.call(caller, 'order', 'unsafe', line)
+    async def _use_tools(
+        self, caller: 'Caller', conversation: Conversation
+    ) -> None:
+        await self.call(caller, 'look', 'safe', conversation)
+        # Shows the check of rollbacks which version is in force.
+        newest = f'n{max(1, self._get_version())}'
+        await self._send_attempt(caller, newest, 'safe', conversation)
+        if self._rng.random() < 0.5:
+            await self.call(caller, 'order', 'unsafe', conversation)
 
     async def call(
         self,
         caller: 'Caller',
         route: str,
         kind: str,
-        line: Line,
-        **more: typing.Any,
+        conversation: Conversation,
+        **options: typing.Any,
     ) -> records.Answered:
-        """Send a request with the tries that its caller has."""
+        """Send a request and retry it where that is safe."""
         for _ in range(3):
-            answered = await self._try(caller, route, kind, line, **more)
-            if answered.gave_up or answered.status in _FINAL:
+            answered = await self._send_attempt(
+                caller, route, kind, conversation, **options
+            )
+            if answered.gave_up or answered.status in _FINAL_STATUSES:
                 break
-            is_promise = answered.status in _PROMISES
-            if kind != 'safe' and not is_promise:
+            was_not_executed = answered.status in _NOT_EXECUTED_STATUSES
+            if kind != 'safe' and not was_not_executed:
                 break
-            await asyncio.sleep(self._source.uniform(0.05, 0.4))
+            await asyncio.sleep(self._rng.uniform(0.05, 0.4))
         return answered
 
-    async def _try(
+    async def _send_attempt(
         self,
         caller: 'Caller',
         route: str,
         kind: str,
-        line: Line,
-        **more: typing.Any,
+        conversation: Conversation,
+        **options: typing.Any,
     ) -> records.Answered:
-        name = f'{self._source.getrandbits(48):012x}'
+        name = f'{self._rng.getrandbits(48):012x}'
         method = 'GET' if kind == 'safe' else 'POST'
         target = f'/{route}/{name}'
         body = '' if kind == 'safe' else f'input of {name};'
         headers = calls.make_headers(name, DEADLINE_MS)
-        headers.append((b'Authorization', f'Bearer {line.key}'.encode()))
-        # What a caller claims does not count.
+        headers.append(
+            (b'Authorization', f'Bearer {conversation.key}'.encode())
+        )
+        # The gateway must ignore the organisation that a caller claims.
         headers += calls.make_header_fields(tenant=organisations.NAMES[0])
         if kind == 'stream':
             headers += calls.make_turn_fields(
-                line.program,
-                more['session'],
-                more['budget'],
+                conversation.program,
+                options['session'],
+                options['budget'],
                 TURN_TOKENS,
-                more['previous'],
+                options['previous'],
             )
-        address = await caller.find_address()
-        self._take(
+        address = await caller.choose_address()
+        self._add_record(
             records.Sent(
                 control.read_now(),
                 name,
@@ -213,55 +238,61 @@
                 method,
                 target,
                 body,
-                f'{organisations.parse_organisation(line.key)}/{line.program}',
-                more.get('budget', 0),
+                f'{organisations.parse_organisation(conversation.key)}/'
+                f'{conversation.program}',
+                options.get('budget', 0),
                 TURN_TOKENS if kind == 'stream' else 0,
-                more.get('previous', ''),
+                options.get('previous', ''),
                 route == 'plan',
-                line.key,
+                conversation.key,
             )
         )
         answered = await caller.send(
-            name, self._find_door(address), method, target, headers, body
+            name,
+            self._find_caller_link(address),
+            method,
+            target,
+            headers,
+            body,
         )
-        self._take(answered)
+        self._add_record(answered)
         return answered
 
 
 class Caller:
-    """One caller's connections and what it knows of addresses."""
+    """The connections and cached addresses of a caller."""
 
     def __init__(self, callers: Callers) -> None:
         self._callers = callers
-        self._source = callers._source
+        self._rng = callers._rng
         self.pool = client.Pool(1.0)
         self._addresses: list[str] = []
-        self._until = 0.0
+        self._lookup_deadline = 0.0
 
-    async def find_address(self) -> str:
-        """Return an instance to connect to, asking anew when it is time."""
-        if control.read_now() >= self._until:
-            await self._look_up()
-            # Some callers keep an answer three times as long.
-            kept = self._source.choice((2.0, 2.0, 6.0))
-            self._until = control.read_now() + kept
+    async def choose_address(self) -> str:
+        """Choose an instance; look up addresses again after their lifetime."""
+        if control.read_now() >= self._lookup_deadline:
+            await self._resolve_addresses()
+            # Some callers cache addresses for too long.
+            lifetime = self._rng.choice((2.0, 2.0, 6.0))
+            self._lookup_deadline = control.read_now() + lifetime
         while not self._addresses:
             # All instances are down.
             await asyncio.sleep(0.2)
-            await self._look_up()
-        return self._source.choice(self._addresses)
+            await self._resolve_addresses()
+        return self._rng.choice(self._addresses)
 
-    async def _look_up(self) -> None:
+    async def _resolve_addresses(self) -> None:
         directories = self._callers._list_directories()
-        self._source.shuffle(directories)
+        self._rng.shuffle(directories)
         for address in directories[:3]:
             try:
                 async with asyncio.timeout(1.0):
-                    found = await calls.resolve(address)
+                    addresses = await calls.resolve(address)
             except (client.TransportError, TimeoutError):
                 continue
-            if found:
-                self._addresses = found
+            if addresses:
+                self._addresses = addresses
                 return
         if not self._addresses:
             self._addresses = [
@@ -271,39 +302,44 @@
     async def send(
         self,
         name: str,
-        door: str,
+        caller_link: str,
         method: str,
         target: str,
         headers: list,
         body: str,
     ) -> records.Answered:
-        """Send one try and return what became of it."""
-        patience = DEADLINE_MS / 1000
-        gives_up = self._source.random() < self._callers.given_up
+        """Send a request once and return its outcome."""
+        timeout_seconds = DEADLINE_MS / 1000
+        gives_up = self._rng.random() < self._callers.abandon_ratio
         if gives_up:
-            patience = self._source.uniform(0.005, 0.08)
-        got = _Got()
+            timeout_seconds = self._rng.uniform(0.005, 0.08)
+        response = _PartialResponse()
         connection = None
         try:
-            async with asyncio.timeout(patience):
-                connection = await self.pool.acquire(door)
+            async with asyncio.timeout(timeout_seconds):
+                connection = await self.pool.acquire(caller_link)
                 connection.send(
                     method.encode(), target.encode(), headers, body.encode()
                 )
-                await got.read(connection)
+                await response.read(connection)
         except (client.TransportError, TimeoutError):
-            got.is_whole = False
+            response.is_whole = False
         if connection is not None:
-            self.pool.release(door, connection)
+            self.pool.release(caller_link, connection)
         now = control.read_now()
-        is_left = gives_up and not got.is_whole
+        gave_up_early = gives_up and not response.is_whole
         return records.Answered(
-            now, name, got.status, got.is_whole, got.body, is_left
+            now,
+            name,
+            response.status,
+            response.is_whole,
+            response.body,
+            gave_up_early,
         )
 
 
-class _Got:
-    """What has come of an answer so far."""
+class _PartialResponse:
+    """The part of a response that was received."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -311,7 +347,7 @@
         self.is_whole = False
 
     async def read(self, connection: client.Connection) -> None:
-        """Read an answer to its end."""
+        """Read a response to its end."""
         head = await connection.read_head()
         self.status = head.status
         while chunk := await connection.read_chunk():
--- a/libs/soak/vanillayoke/soak/checks.py
+++ b/libs/soak/vanillayoke/soak/checks.py
@@ -385,7 +385,7 @@
 }
 
 
-# These checks have time limits, which a run on an overloaded machine exceeds.
+# These checks have time limits, which a run on a busy machine may exceed.
 TIMED_CHECKS = frozenset(
     (
         'no denial',
--- a/libs/soak/vanillayoke/soak/control.py
+++ b/libs/soak/vanillayoke/soak/control.py
@@ -1,7 +1,7 @@
-"""Orders from a run to its processes, a JSON line each on standard input.
+"""Commands to the processes of a run, as JSON lines on standard input.
 
-What the processes see goes out as records, a line each on standard output,
-which is a file that the run reads while it grows.
+The processes write records as JSON lines to standard output, a file that the
+run polls.
 """
 
 import asyncio
@@ -16,20 +16,20 @@
 
 
 class Fail(msgspec.Struct, frozen=True, tag=True):
-    """The next requests of a server fail in a way."""
+    """Inject a fault into the next ``times`` requests of a server."""
 
     fault: str
     times: int
 
 
 class Pace(msgspec.Struct, frozen=True, tag=True):
-    """A model server takes so long from one event to the next, in seconds."""
+    """Set the interval between events of a model server, in seconds."""
 
     gap: float
 
 
 class Store(msgspec.Struct, frozen=True, tag=True):
-    """How the store treats calls from now on; ``delay`` in seconds."""
+    """Set how the store handles calls; ``delay`` in seconds."""
 
     mode: str = 'serve'
     delay: float = 0.004
@@ -39,9 +39,9 @@
 
 
 class Put(msgspec.Struct, frozen=True, tag=True):
-    """A row is written by the operator or a server.
+    """Write a row, or delete it if ``content`` is ``None``.
 
-    ``record`` is written to the output once the row stands.
+    The store process outputs ``record`` once the row is written.
     """
 
     table: str
@@ -51,17 +51,17 @@
 
 
 class Spoil(msgspec.Struct, frozen=True, tag=True):
-    """Another writer puts bytes in a row that nobody can read."""
+    """Write a row that cannot be decoded."""
 
     table: str
     key: str
 
 
 class Link(msgspec.Struct, frozen=True, tag=True):
-    """How the proxy treats connections to an address from now on.
+    """Set how the proxy handles connections to an address.
 
-    ``mode`` is one of ``links.Mode``; ``delay`` in seconds, ``rate`` in bytes
-    a second where it is above 0.
+    ``mode`` is a value of ``Mode`` in the module links. ``delay`` is in
+    seconds, ``rate`` in bytes per second; 0 means unlimited.
     """
 
     address: str
@@ -71,28 +71,28 @@
 
 
 class Forward(msgspec.Struct, frozen=True, tag=True):
-    """The proxy listens at an address and connects to another one."""
+    """Listen at ``address`` and connect to ``to``."""
 
     address: str
     to: str
 
 
-Order = Fail | Pace | Store | Put | Spoil | Link | Forward
-_DECODER = msgspec.json.Decoder(Order)
+Command = Fail | Pace | Store | Put | Spoil | Link | Forward
+_DECODER = msgspec.json.Decoder(Command)
 
 
 def write_record(record: records.Record) -> None:
-    """Append a record to this process's output."""
+    """Write a record to standard output."""
     os.write(sys.stdout.fileno(), records.ENCODER.encode(record) + b'\n')
 
 
 def read_now() -> float:
-    """Return the time that all processes of a run share."""
+    """Return the monotonic time, which all processes share."""
     return time.monotonic()
 
 
-async def read_orders() -> typing.AsyncIterator[Order]:
-    """Yield the orders on standard input until it is closed."""
+async def read_commands() -> typing.AsyncIterator[Command]:
+    """Yield commands from standard input until it is closed."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 20)
     await loop.connect_read_pipe(
--- a/libs/soak/vanillayoke/soak/demo.py
+++ b/libs/soak/vanillayoke/soak/demo.py
@@ -1,10 +1,10 @@
-"""The demo: a program survives the death of the instances that serve it.
+"""A demo of a program that survives the loss of instances.
 
 A store, model servers, tools and three instances run as processes on
-loopback. A program checks stock, places an order that must not be repeated,
-hands work to sub-agents and goes on; the instance that keeps its budget is
-killed while an answer streams, and then the one that an answer streams
-through. Exit status 0 only if every promise held.
+loopback. The program calls tools, places an order that must not be repeated
+and runs sub-agents. Its coordinator is killed during a streamed response,
+then the instance that forwards a streamed response. The exit status is 0 if
+all guarantees held.
 """
 
 import asyncio
@@ -28,28 +28,28 @@
 
 PROGRAM = 'board-1'
 ORGANISATION = organisations.NAMES[0]
-LINE = callers_module.Line(
+CONVERSATION = callers_module.Conversation(
     PROGRAM,
     f'{PROGRAM}.0',
     'chat',
     1000,
     organisations.Keys().get_key(ORGANISATION),
 )
-# Events come slowly enough to kill an instance between two of them. Seconds.
-GAP = 0.2
+# Long enough to kill an instance between two events.
+EVENT_INTERVAL_SECONDS = 0.2
 PEERS_PORT = 7380
-READY = 5.0
+STARTUP_SECONDS = 5.0
 
 
-class Promise(typing.NamedTuple):
-    """One promise and whether it held."""
+class Guarantee(typing.NamedTuple):
+    """A guarantee and whether it held."""
 
     text: str
     held: bool
 
 
 class Demo:
-    """The site, the program and what was seen of both."""
+    """The processes, the program and the history of the demo."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         network = sites.choose_network(0)
@@ -58,71 +58,79 @@
         self._folder = folder
         self._callers = callers_module.Callers(
             self.site.list_directories,
-            self.site.find_door,
+            self.site.find_caller_link,
             lambda: self.site.version,
             self.site.keys.get_key,
             self.history.add,
             random.Random(1),
-            given_up=0.0,
+            abandon_ratio=0.0,
         )
         self._caller = callers_module.Caller(self._callers)
-        # Turns whose instance was killed while it answered.
-        self._cut_off = 0
+        # Turns whose instance was killed during the response.
+        self._expected_interruptions = 0
 
-    async def run(self) -> list[Promise]:
-        """Run the program; return the promises."""
+    async def run(self) -> list[Guarantee]:
+        """Run the program and return the guarantees."""
         await self.site.start()
-        await asyncio.sleep(READY)
+        await asyncio.sleep(STARTUP_SECONDS)
         first = await self._turn('')
         await self._use_tools()
-        await self._ask_helpers(first)
+        await self._run_sub_agents(first)
         self._slow_down()
-        home = self._find_home()
-        second = await self._turn_while_killing(first, lambda: home)
-        # The others have seen by then that the home is gone.
-        await asyncio.sleep(READY / 2)
-        third = await self._turn_while_killing(second, self._find_server)
+        coordinator = self._find_coordinator()
+        second = await self._turn_while_killing(first, lambda: coordinator)
+        # Let the other instances detect the loss of the coordinator.
+        await asyncio.sleep(STARTUP_SECONDS / 2)
+        third = await self._turn_while_killing(
+            second, self._find_serving_instance
+        )
         await self._restart()
         await self._turn(third)
-        await self._spend()
+        await self._exhaust_budget()
         for host in self.site.instances:
-            self.site.tell_to_stop(host)
+            self.site.request_stop(host)
         await asyncio.gather(
             *(child.wait() for child in self.site.instances.values())
         )
         await asyncio.sleep(0.5)
-        for record in self.site.collect():
+        for record in self.site.collect_records():
             self.history.add(record)
-        return self._judge()
+        return self._evaluate()
 
     async def _turn(self, previous: str) -> str:
-        done = await self._callers.run_turn(self._caller, LINE, previous)
+        done = await self._callers.run_turn(
+            self._caller, CONVERSATION, previous
+        )
         if done is None:
-            raise RuntimeError('the program ended before its time')
+            raise RuntimeError('the turn did not complete')
         return done
 
     async def _use_tools(self) -> None:
         for route, kind in (('look', 'safe'), ('order', 'unsafe')):
-            await self._callers.call(self._caller, route, kind, LINE)
+            await self._callers.call(self._caller, route, kind, CONVERSATION)
 
-    async def _ask_helpers(self, previous: str) -> None:
-        """Let two sub-agents go on from a turn at the same time."""
-        lines = (LINE._replace(session=f'{PROGRAM}.{n}') for n in (1, 2))
+    async def _run_sub_agents(self, previous: str) -> None:
+        """Continue from a turn in two concurrent sub-agents."""
+        conversations = (
+            CONVERSATION._replace(session=f'{PROGRAM}.{n}') for n in (1, 2)
+        )
         await asyncio.gather(
             *(
                 self._callers.run_turn(
-                    callers_module.Caller(self._callers), line, previous
+                    callers_module.Caller(self._callers),
+                    conversation,
+                    previous,
                 )
-                for line in lines
+                for conversation in conversations
             )
         )
 
     def _slow_down(self) -> None:
         for server in self.site.servers:
-            server.child.order(control.Pace(GAP))
+            server.child.send_command(control.Pace(EVENT_INTERVAL_SECONDS))
 
-    def _find_home(self) -> str:
-        """Return the instance that keeps the program's budget."""
+    def _find_coordinator(self) -> str:
+        """Return the address of the program's coordinator."""
         members = [
             rendezvous.Peer(child.name, host)
             for host, child in self.site.instances.items()
@@ -130,19 +138,19 @@
         program = scopes.qualify(ORGANISATION, PROGRAM)
         return rendezvous.find_coordinator(program, members).address
 
-    def _find_server(self) -> str:
-        """Return the instance that the newest turn was sent to."""
+    def _find_serving_instance(self) -> str:
+        """Return the instance that received the latest request."""
         return list(self.history.sent.values())[-1].instance
 
     async def _turn_while_killing(
         self, previous: str, choose: typing.Callable[[], str]
     ) -> str:
         turn = asyncio.ensure_future(self._turn(previous))
-        await asyncio.sleep(1.5 * GAP)
+        await asyncio.sleep(1.5 * EVENT_INTERVAL_SECONDS)
         host = choose()
         name = self.site.instances[host].name
-        self._cut_off += host == self._find_server()
-        # What an instance was granted dies with it, and counts as used.
+        self._expected_interruptions += host == self._find_serving_instance()
+        # Grants of a killed instance are lost and count as used.
         now = control.read_now()
         self.history.add(records.Disturbed(now, now, 'kill', name))
         print(f'Killed {name} half-way.', flush=True)
@@ -153,24 +161,27 @@
         for host, child in list(self.site.instances.items()):
             if not child.is_running:
                 await self.site.start_instance(host)
-        await asyncio.sleep(READY)
+        await asyncio.sleep(STARTUP_SECONDS)
 
-    async def _spend(self) -> None:
-        """Go on without end, as some programs do, until the budget is spent.
+    async def _exhaust_budget(self) -> None:
+        """Run turns until the budget is exhausted.
 
-        Their turns begin new chains, so that these stay short.
+        Each turn starts a new chain, so that chains stay short.
         """
         for server in self.site.servers:
-            server.child.order(control.Pace(0.001))
-        while await self._callers.run_turn(self._caller, LINE, ''):
+            server.child.send_command(control.Pace(0.001))
+        while await self._callers.run_turn(self._caller, CONVERSATION, ''):
             continue
 
-    def _judge(self) -> list[Promise]:
-        broken = checks.check_all(self.history, control.read_now())
-        for one in broken:
-            print(f'{one.promise}: {one.subject}: {one.detail}')
-        names = {one.promise for one in broken}
-        cut = sum(
+    def _evaluate(self) -> list[Guarantee]:
+        violated = checks.check_all(self.history, control.read_now())
+        for violation in violated:
+            print(
+                f'{violation.guarantee}: {violation.subject}:'
+                f' {violation.detail}'
+            )
+        names = {violation.guarantee for violation in violated}
+        interrupted = sum(
             one.status == 200 and not one.is_whole
             for one in self.history.answered.values()
         )
@@ -183,60 +194,64 @@
         answers = {'own answer', 'whole answer', 'order of a stream'}
         is_spent = last.status == 402 and 'budget' not in names
         return [
-            Promise(
+            Guarantee(
                 'only turns whose own instance was lost broke off',
-                cut == self._cut_off > 0,
+                interrupted == self._expected_interruptions > 0,
+            ),
+            Guarantee(
+                'the order ran once', [len(one) for one in orders] == [1]
             ),
-            Promise('the order ran once', [len(one) for one in orders] == [1]),
-            Promise(
+            Guarantee(
                 'each answer was whole and to its own request',
                 not names & answers,
             ),
-            Promise(
+            Guarantee(
                 'the history is whole, byte for byte',
                 not names & {'history', 'history kept'},
             ),
-            Promise('the budget held and stopped the program', is_spent),
-            Promise(
+            Guarantee('the budget held and stopped the program', is_spent),
+            Guarantee(
                 'each planned stop was graceful',
                 not names & {'graceful stop', 'no crash'},
             ),
-            Promise('no other promise was broken', not names),
+            Guarantee('no other promise was broken', not names),
         ]
 
-    def print_story(self) -> None:
-        """Print the program's story from the logs of all instances."""
-        lines = []
+    def print_log(self) -> None:
+        """Print the program's log lines of all instances."""
+        log_lines = []
         for path in sorted(self._folder.glob('i*.log')):
-            lines += request_logs.parse_lines(path.read_text().splitlines())
+            log_lines += request_logs.parse_lines(
+                path.read_text().splitlines()
+            )
         for text in request_logs.format_lines(
-            request_logs.select_lines(lines, PROGRAM)
-        )[:STORY_LINES]:
+            request_logs.select_lines(log_lines, PROGRAM)
+        )[:MAX_LOG_LINES]:
             print(text)
 
 
-# The rest is the program that goes on without end.
-STORY_LINES = 24
+# Later lines are those of turns that exhaust the budget.
+MAX_LOG_LINES = 24
 
 
-async def run_demo(folder: pathlib.Path) -> list[Promise]:
-    """Run the demo in a folder and print its story."""
+async def run_demo(folder: pathlib.Path) -> list[Guarantee]:
+    """Run the demo in a folder and print its log lines."""
     demo = Demo(folder)
     try:
-        promises = await demo.run()
+        guarantees = await demo.run()
     finally:
         await demo.site.stop()
-    demo.print_story()
-    return promises
+    demo.print_log()
+    return guarantees
 
 
 def main() -> int:
-    """Run the demo and say which promises held."""
+    """Run the demo and print which guarantees held."""
     with tempfile.TemporaryDirectory() as name:
-        promises = asyncio.run(run_demo(pathlib.Path(name)))
-    for promise in promises:
-        print(f'{"held  " if promise.held else "BROKEN"}  {promise.text}')
-    return 0 if all(promise.held for promise in promises) else 1
+        guarantees = asyncio.run(run_demo(pathlib.Path(name)))
+    for guarantee in guarantees:
+        print(f'{"held  " if guarantee.held else "BROKEN"}  {guarantee.text}')
+    return 0 if all(guarantee.held for guarantee in guarantees) else 1
 
 
 if __name__ == '__main__':
--- a/libs/soak/vanillayoke/soak/instances.py
+++ b/libs/soak/vanillayoke/soak/instances.py
@@ -1,7 +1,6 @@
-"""An instance whose time of day a run can step.
+"""Runs an instance with an adjustable wall clock.
 
-The program is the product's own; only the clock that it reads the time of
-day from is moved, by the seconds that a file holds.
+The offset of the wall clock, in seconds, is read from a file.
 """
 
 import pathlib
@@ -12,7 +11,7 @@
 
 
 def shift_clock(path: pathlib.Path) -> None:
-    """Let the time of day run ahead by the seconds in a file."""
+    """Shift the wall clock by the number of seconds in a file."""
     read_true = time.time
 
     def read_shifted() -> float:
@@ -22,14 +21,14 @@
             return read_true()
 
     time.time = read_shifted
-    # Bound as a default when the module was loaded.
+    # This default was bound when the module was loaded.
     from vanillayoke.core import timers
 
     timers.LoopTimers.__init__.__defaults__ = (read_shifted,)
 
 
 def run(arguments: list[str]) -> int:
-    """Run the instance; the first argument is the file of its clock."""
+    """Run the instance; the first argument is the clock offset file."""
     shift_clock(pathlib.Path(arguments[0]))
     return process.run()
 
--- a/libs/soak/vanillayoke/soak/links.py
+++ b/libs/soak/vanillayoke/soak/links.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts, silences and throttles."""
+"""A loopback proxy that injects network faults."""
 
 import asyncio
 import contextlib
@@ -6,14 +6,15 @@
 
 from vanillayoke.soak import control
 
-_CHUNK = 16 * 1024
+_CHUNK_BYTES = 16 * 1024
 
 
 class Mode(enum.Enum):
-    """What happens to the bytes of a link.
+    """How a link handles connections.
 
-    ``SILENT`` connections that are open carry nothing any more, for good,
-    while new ones work. ``ONE_WAY`` carries requests but no answers.
+    ``RESET`` aborts open connections. ``SILENT`` makes open connections
+    unresponsive for good, while new ones work. ``ONE_WAY`` forwards requests
+    but no responses, and ``CUT`` nothing.
     """
 
     PASS = 'pass'
@@ -33,13 +34,13 @@
         self.is_silent = False
 
     def abort(self) -> None:
-        """Reset both ends."""
+        """Abort both connections."""
         for writer in self.writers:
             writer.transport.abort()
 
 
 class LinkProxy:
-    """Listens at one address and passes on to another."""
+    """Forwards connections from one address to another."""
 
     def __init__(self, to: str) -> None:
         self.to = to
@@ -50,18 +51,18 @@
         self._changed = asyncio.Event()
 
     async def listen(self, address: str) -> None:
-        """Begin to take connections."""
+        """Start to accept connections."""
         host, _, port = address.rpartition(':')
         self._server = await asyncio.start_server(self._serve, host, int(port))
 
-    def change(self, order: control.Link) -> None:
-        """Treat connections as ordered from now on."""
-        self.mode = Mode(order.mode)
-        self.delay, self.rate = order.delay, order.rate
+    def change(self, command: control.Link) -> None:
+        """Apply a command."""
+        self.mode = Mode(command.mode)
+        self.delay, self.rate = command.delay, command.rate
         if self.mode is Mode.RESET:
             for pipe in list(self._pipes):
                 pipe.abort()
-            # Those that come now are served again.
+            # New connections work normally.
             self.mode = Mode.PASS
         if self.mode is Mode.SILENT:
             for pipe in self._pipes:
@@ -75,44 +76,48 @@
     ) -> None:
         host, _, port = self.to.rpartition(':')
         try:
-            other = await asyncio.open_connection(host, int(port))
+            upstream = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        pipe = Pipe(writer, other[1])
+        pipe = Pipe(writer, upstream[1])
         self._pipes.add(pipe)
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._carry(pipe, reader, other[1], True))
-                group.create_task(self._carry(pipe, other[0], writer, False))
+                group.create_task(
+                    self._forward(pipe, reader, upstream[1], True)
+                )
+                group.create_task(
+                    self._forward(pipe, upstream[0], writer, False)
+                )
         except* OSError:
-            # A reset at one end is passed on to the other one.
+            # A reset of one connection resets the other one.
             pipe.abort()
         finally:
             self._pipes.discard(pipe)
             pipe.abort()
 
-    async def _carry(
+    async def _forward(
         self,
         pipe: Pipe,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         is_request: bool,
     ) -> None:
-        while data := await reader.read(_CHUNK):
+        while data := await reader.read(_CHUNK_BYTES):
             if self.delay:
                 await asyncio.sleep(self.delay)
             if self.rate:
                 await asyncio.sleep(len(data) / self.rate)
-            await self._wait_open(pipe, is_request)
+            await self._wait_until_open(pipe, is_request)
             writer.write(data)
             await writer.drain()
-        await self._wait_open(pipe, is_request)
+        await self._wait_until_open(pipe, is_request)
         with contextlib.suppress(OSError):
             writer.write_eof()
 
-    async def _wait_open(self, pipe: Pipe, is_request: bool) -> None:
-        """Hold bytes back while the link does not carry them."""
+    async def _wait_until_open(self, pipe: Pipe, is_request: bool) -> None:
+        """Wait while the link does not forward data in this direction."""
         while (
             pipe.is_silent
             or self.mode is Mode.CUT
@@ -122,10 +127,10 @@
 
 
 async def run() -> None:
-    """Serve as the proxy of a run until standard input is closed."""
+    """Run the proxy until standard input is closed."""
     proxies: dict[str, LinkProxy] = {}
-    async for order in control.read_orders():
-        match order:
+    async for command in control.read_commands():
+        match command:
             case control.Forward(address, to):
                 if address in proxies:
                     proxies[address].to = to
@@ -133,4 +138,4 @@
                 proxies[address] = LinkProxy(to)
                 await proxies[address].listen(address)
             case control.Link():
-                proxies[order.address].change(order)
+                proxies[command.address].change(command)
--- a/libs/soak/vanillayoke/soak/processes.py
+++ b/libs/soak/vanillayoke/soak/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of a run: started, ordered, signalled, always ended."""
+"""Child processes of a run."""
 
 import asyncio
 import os
@@ -14,12 +14,12 @@
 
 
 class Child:
-    """One process; its output goes to a file that is read while it grows."""
+    """A process whose output goes to a file that can be polled."""
 
     def __init__(self, name: str, output: pathlib.Path) -> None:
         self.name = name
         self.output = output
-        self._read_to = 0
+        self._read_offset = 0
         self._process: asyncio.subprocess.Process | None = None
 
     @classmethod
@@ -30,10 +30,10 @@
         arguments: typing.Sequence[str],
         variables: dict[str, str] | None = None,
     ) -> typing.Self:
-        """Start a Python process; output is appended to its file."""
+        """Start a Python process and append its output to a file."""
         child = cls(name, folder / f'{name}.log')
         with child.output.open('ab') as output:
-            child._read_to = output.tell()
+            child._read_offset = output.tell()
             child._process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 *arguments,
@@ -46,16 +46,16 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process is still running."""
         return self._process.returncode is None
 
-    def order(self, order: control.Order) -> None:
-        """Give an order; one to a process that has ended is dropped."""
+    def send_command(self, command: control.Command) -> None:
+        """Send a command, unless the process has ended."""
         if self.is_running:
-            self._process.stdin.write(msgspec.json.encode(order) + b'\n')
+            self._process.stdin.write(msgspec.json.encode(command) + b'\n')
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal where the process still runs."""
+        """Send a signal, unless the process has ended."""
         if self.is_running:
             self._process.send_signal(number)
 
@@ -63,25 +63,25 @@
         """Return the exit status, negative for a signal."""
         return await self._process.wait()
 
-    async def end(self) -> None:
-        """End the process for good."""
+    async def kill(self) -> None:
+        """Kill the process and wait until it has ended."""
         if self.is_running:
-            # A stopped process takes a kill, but not its end of input.
+            # A process stopped by SIGSTOP does not notice end of input.
             self._process.send_signal(signal.SIGKILL)
         await self._process.wait()
 
     def read_records(self) -> list[records.Record]:
         """Return the records written since the last call."""
         with self.output.open('rb') as output:
-            output.seek(self._read_to)
+            output.seek(self._read_offset)
             data = output.read()
-        whole = data.rpartition(b'\n')[0]
-        self._read_to += len(whole) + 1 if whole else 0
+        complete = data.rpartition(b'\n')[0]
+        self._read_offset += len(complete) + 1 if complete else 0
         found = []
-        for line in whole.splitlines():
+        for line in complete.splitlines():
             try:
                 found.append(records.DECODER.decode(line))
             except msgspec.DecodeError:
-                # A warning or trace of the process; it stays in the file.
+                # Other output, such as a warning or traceback.
                 continue
         return found
--- a/libs/soak/vanillayoke/soak/records.py
+++ b/libs/soak/vanillayoke/soak/records.py
@@ -1,8 +1,7 @@
-"""What callers, servers and the operator saw in a run of the soak.
+"""Records of events in a run, written by its processes.
 
-All times are seconds of the machine's monotonic clock, which the processes of
-a run share. Records of one process are in order; those of different ones may
-come to the checker late.
+Times are seconds of the monotonic clock that all processes of a run share.
+Records of one process arrive in order, those of different processes may not.
 """
 
 import typing
@@ -11,7 +10,7 @@
 
 
 class Sent(msgspec.Struct, frozen=True, tag=True):
-    """A caller begins to send a request; ``kind`` is the route's."""
+    """A caller starts to send a request; ``kind`` is that of the route."""
 
     at: float
     request: str
@@ -29,10 +28,11 @@
 
 
 class Answered(msgspec.Struct, frozen=True, tag=True):
-    """A request is over for its caller.
+    """A request has ended for its caller.
 
-    ``status`` is 0 if no answer came. ``is_whole`` says whether the answer
-    came to its own end. ``gave_up`` marks callers that left by themselves.
+    ``status`` is 0 if there was no response. ``is_whole`` tells whether the
+    response was received completely, ``gave_up`` whether the caller closed
+    the connection early.
     """
 
     at: float
@@ -44,7 +44,7 @@
 
 
 class Started(msgspec.Struct, frozen=True, tag=True):
-    """A server begins to work on a request."""
+    """A server starts to execute a request."""
 
     at: float
     server: str
@@ -58,7 +58,7 @@
 
 
 class Ended(msgspec.Struct, frozen=True, tag=True):
-    """A server's work on a request is over; ``is_cut`` if it was stopped."""
+    """A server stops executing a request; ``is_cut`` if it was aborted."""
 
     at: float
     server: str
@@ -67,7 +67,7 @@
 
 
 class Leaving(msgspec.Struct, frozen=True, tag=True):
-    """The store acknowledged that a server leaves."""
+    """The store acknowledged that a server is draining."""
 
     at: float
     server: str
@@ -76,8 +76,8 @@
 class Accepted(msgspec.Struct, frozen=True, tag=True):
     """The store acknowledged a configuration.
 
-    ``services`` has the service of each route, ``keys`` those in force, and
-    ``limit`` the requests a window of the limited organisation.
+    ``services`` maps routes to services. ``keys`` are the keys in force and
+    ``limit`` is the maximum number of requests in a window.
     """
 
     at: float
@@ -88,7 +88,7 @@
 
 
 class Process(msgspec.Struct, frozen=True, tag=True):
-    """An instance's process starts, is told to stop, or has ended."""
+    """An instance's process starts, gets a request to stop, or has ended."""
 
     at: float
     instance: str
@@ -97,7 +97,7 @@
 
 
 class Disturbed(msgspec.Struct, frozen=True, tag=True):
-    """A fault is in force for a time; ``where`` names what it hits."""
+    """A fault that affects ``where`` from ``at`` to ``until``."""
 
     at: float
     until: float
@@ -115,7 +115,7 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """Times and sizes that the checks hold a run to; times in seconds."""
+    """Limits that the checks apply; times in seconds."""
 
     leaving: float = 2.0
     configuration: float = 2.0
@@ -123,5 +123,5 @@
     grace: float = 8.0
     recovery: float = 12.0
     event_tokens: int = 10
-    # What a busy machine may add to a time between two processes.
+    # Tolerance for delays between processes on a busy machine.
     slack: float = 1.0
--- a/libs/soak/vanillayoke/soak/runs.py
+++ b/libs/soak/vanillayoke/soak/runs.py
@@ -1,4 +1,4 @@
-"""One run: a site, its callers, the faults of a plan, the verdict."""
+"""Runs a plan and checks the recorded history."""
 
 import asyncio
 import pathlib
@@ -16,15 +16,15 @@
 from vanillayoke.soak import records
 from vanillayoke.soak import sites
 
-# Instances find each other and the servers within this time of their start.
-START = 4.0
-CHECK_PAUSE = 2.0
-# Records of servers and of the store reach the run within this time.
-SETTLING = 1.0
+# Instances discover each other and the servers within this time.
+STARTUP_SECONDS = 4.0
+CHECK_INTERVAL_SECONDS = 2.0
+# Maximum delay of records of servers and the store.
+RECORD_DELAY_SECONDS = 1.0
 
 
 class Result(msgspec.Struct):
-    """What became of a run."""
+    """The outcome of a run."""
 
     seed: int
     faults: dict[str, int]
@@ -36,7 +36,7 @@
 
 
 class Run:
-    """Plays a plan on a site of processes."""
+    """Runs a plan: starts processes and callers, and injects faults."""
 
     def __init__(
         self,
@@ -50,32 +50,32 @@
         self._site = sites.Site(folder, network, plan.instances)
         self._folder = folder
         self._history = histories.History(records.Bounds())
-        self._source = random.Random(plan.seed)
+        self._rng = random.Random(plan.seed)
         self._tasks: set[asyncio.Task] = set()
         self._violations: list[checks.Violation] = []
 
-    async def play(self) -> Result:
-        """Play the plan and return the verdict."""
+    async def run(self) -> Result:
+        """Run the plan and return the result."""
         site = self._site
         callers = callers_module.Callers(
             site.list_directories,
-            site.find_door,
+            site.find_caller_link,
             lambda: site.version,
             site.keys.get_key,
             self._history.add,
-            self._source,
+            self._rng,
         )
         try:
             await site.start()
-            await asyncio.sleep(START)
-            began = control.read_now()
+            await asyncio.sleep(STARTUP_SECONDS)
+            traffic_start = control.read_now()
             for _ in range(self._plan.callers):
                 self._spawn(callers.run())
             for fault in self._plan.faults:
-                self._spawn(self._cause(fault, began))
-            end = began + self._plan.faulty + self._plan.calm
+                self._spawn(self._inject(fault, traffic_start))
+            end = traffic_start + self._plan.faulty + self._plan.calm
             while control.read_now() < end and not self._violations:
-                await asyncio.sleep(CHECK_PAUSE)
+                await asyncio.sleep(CHECK_INTERVAL_SECONDS)
                 self._check()
             callers.is_over = True
             await self._stop_instances()
@@ -85,23 +85,23 @@
                 task.cancel()
             await asyncio.gather(*self._tasks, return_exceptions=True)
             await site.stop()
-        return self._conclude()
+        return self._make_result()
 
     def _spawn(self, work: typing.Coroutine) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._end)
+        task.add_done_callback(self._handle_completion)
 
-    def _end(self, task: asyncio.Task) -> None:
+    def _handle_completion(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             error = repr(task.exception())
             self._violations.append(checks.Violation('soak', 'run', error))
 
     def _check(self) -> None:
-        for record in self._site.collect():
+        for record in self._site.collect_records():
             self._history.add(record)
-        cutoff = control.read_now() - SETTLING
+        cutoff = control.read_now() - RECORD_DELAY_SECONDS
         if not self._violations:
             self._violations = checks.check_all(
                 self._history, cutoff, self._is_timed
@@ -109,18 +109,18 @@
 
     async def _stop_instances(self) -> None:
         for host in list(self._site.instances):
-            self._site.tell_to_stop(host)
+            self._site.request_stop(host)
         grace = self._history.bounds.grace
         waits = [one.wait() for one in self._site.instances.values()]
         try:
-            async with asyncio.timeout(grace + SETTLING):
+            async with asyncio.timeout(grace + RECORD_DELAY_SECONDS):
                 await asyncio.gather(*waits)
         except TimeoutError:
-            # The check of planned stops tells which did not end.
+            # Instances that are still running have no record of their end.
             return
-        await asyncio.sleep(SETTLING)
+        await asyncio.sleep(RECORD_DELAY_SECONDS)
 
-    def _conclude(self) -> Result:
+    def _make_result(self) -> Result:
         history = self._history
         kinds: dict[str, int] = {}
         for fault in self._plan.faults:
@@ -139,45 +139,47 @@
 
     # Faults
 
-    async def _cause(self, fault: plans.Fault, began: float) -> None:
-        await asyncio.sleep(max(0.0, began + fault.at - control.read_now()))
+    async def _inject(self, fault: plans.Fault, traffic_start: float) -> None:
+        await asyncio.sleep(
+            max(0.0, traffic_start + fault.at - control.read_now())
+        )
         now = control.read_now()
         self._history.add(
             records.Disturbed(
                 now,
                 now + fault.seconds,
-                _find_family(fault.kind),
+                _get_family(fault.kind),
                 f'{fault.kind} {fault.subject}',
             )
         )
-        family, _, what = fault.kind.partition('_')
+        family, _, variant = fault.kind.partition('_')
         match family:
             case 'kill' | 'freeze' | 'term' | 'replace' | 'hup' | 'clock':
-                await self._hit_instance(fault)
+                await self._inject_instance_fault(fault)
             case 'store':
-                await self._hit_store(fault, what)
+                await self._inject_store_fault(fault, variant)
             case 'server':
-                await self._hit_server(fault, what)
+                await self._inject_server_fault(fault, variant)
             case 'link' | 'caller':
-                await self._hit_link(fault, what)
-            case 'configure' if what == 'keys':
+                await self._inject_link_fault(fault, variant)
+            case 'configure' if variant == 'keys':
                 self._site.keys.rotate_key(fault.subject)
                 self._site.configure()
-            case 'configure' if what == 'limit':
+            case 'configure' if variant == 'limit':
                 self._site.keys.is_limit_lowered = (
                     not self._site.keys.is_limit_lowered
                 )
                 self._site.configure()
             case 'configure':
                 if fault.kind == plans.MANY_ROUTES_KIND:
-                    self._site.grown_routes += int(fault.strength)
+                    self._site.added_routes += int(fault.strength)
                     self._site.configure()
                     return
                 for _ in range(max(1, int(fault.strength))):
                     self._site.configure()
                     await asyncio.sleep(0.15)
 
-    async def _hit_instance(self, fault: plans.Fault) -> None:
+    async def _inject_instance_fault(self, fault: plans.Fault) -> None:
         site = self._site
         if fault.kind.endswith('_all'):
             hosts = list(site.instances)
@@ -212,7 +214,7 @@
         if child is None or not child.is_running:
             return
         if number is signal.SIGTERM:
-            self._site.tell_to_stop(host)
+            self._site.request_stop(host)
         else:
             child.signal(number)
         await child.wait()
@@ -234,38 +236,42 @@
         await asyncio.sleep(fault.seconds)
         child.signal(signal.SIGCONT)
 
-    async def _hit_store(self, fault: plans.Fault, what: str) -> None:
+    async def _inject_store_fault(
+        self, fault: plans.Fault, variant: str
+    ) -> None:
         site = self._site
-        match what:
+        match variant:
             case 'lost':
-                site.store.order(
+                site.store.send_command(
                     control.Store(lost_replies=int(fault.strength))
                 )
             case 'late':
-                site.store.order(
+                site.store.send_command(
                     control.Store(late_writes=int(fault.strength))
                 )
             case 'forget':
-                site.store.order(control.Store(forget=True))
+                site.store.send_command(control.Store(forget=True))
             case 'slow':
-                site.store.order(control.Store(delay=fault.strength))
+                site.store.send_command(control.Store(delay=fault.strength))
                 await asyncio.sleep(fault.seconds)
-                site.store.order(control.Store())
+                site.store.send_command(control.Store())
             case 'cut' | 'silent':
                 host = site.choose_host(fault.subject)
                 if host:
                     link = site.find_store_link(host)
-                    await self._change_link(link, what, fault)
+                    await self._change_link(link, variant, fault)
             case _:
-                site.store.order(control.Store(mode=what))
+                site.store.send_command(control.Store(mode=variant))
                 await asyncio.sleep(fault.seconds)
-                site.store.order(control.Store())
+                site.store.send_command(control.Store())
 
-    async def _hit_server(self, fault: plans.Fault, what: str) -> None:
+    async def _inject_server_fault(
+        self, fault: plans.Fault, variant: str
+    ) -> None:
         site = self._site
         server = site.servers[fault.subject % len(site.servers)]
         child = server.child
-        match what:
+        match variant:
             case 'kill':
                 name = server.name
                 child.signal(signal.SIGKILL)
@@ -277,9 +283,9 @@
                 child.signal(signal.SIGKILL)
                 await asyncio.sleep(fault.seconds)
                 if server.child is child:
-                    await site.start_server(server, is_reborn=True)
+                    await site.start_server(server, is_restart=True)
             case 'foreign':
-                keys = site.put_foreign(server)
+                keys = site.put_invalid_rows(server)
                 await asyncio.sleep(fault.seconds)
                 for key in keys:
                     site.unregister(key)
@@ -289,10 +295,10 @@
                 await self._replace_server(server)
             case _:
                 times = max(1, int(fault.strength))
-                child.order(control.Fail(what, times))
+                child.send_command(control.Fail(variant, times))
 
     async def _replace_server(self, server: sites.Server) -> None:
-        """Let a server drain, end and come back as another incarnation."""
+        """Drain a server, kill it and start a new incarnation."""
         child, name = server.child, server.name
         self._site.register(server, 'draining')
         bounds = self._history.bounds
@@ -302,34 +308,36 @@
             child.signal(signal.SIGKILL)
             await self._site.start_server(server)
 
-    async def _hit_link(self, fault: plans.Fault, what: str) -> None:
+    async def _inject_link_fault(
+        self, fault: plans.Fault, variant: str
+    ) -> None:
         site = self._site
         if fault.kind.startswith('caller'):
             host = site.choose_host(fault.subject)
             if not host:
                 return
-            address = site.find_door(host)
+            address = site.find_caller_link(host)
         else:
             server = site.servers[fault.subject % len(site.servers)]
             address = site.find_server_link(server)
-        await self._change_link(address, what, fault)
+        await self._change_link(address, variant, fault)
 
     async def _change_link(
-        self, address: str, what: str, fault: plans.Fault
+        self, address: str, variant: str, fault: plans.Fault
     ) -> None:
         links = self._site.links
-        match what:
+        match variant:
             case 'slow':
-                links.order(control.Link(address, delay=fault.strength))
+                links.send_command(control.Link(address, delay=fault.strength))
             case 'throttle':
-                links.order(control.Link(address, rate=fault.strength))
+                links.send_command(control.Link(address, rate=fault.strength))
             case _:
-                links.order(control.Link(address, what))
+                links.send_command(control.Link(address, variant))
         await asyncio.sleep(fault.seconds)
-        links.order(control.Link(address))
+        links.send_command(control.Link(address))
 
 
-def _find_family(kind: str) -> str:
-    """Return what a fault counts as for the checks."""
+def _get_family(kind: str) -> str:
+    """Return the family of a fault that the checks use."""
     family = kind.partition('_')[0]
     return 'link' if family == 'caller' else family
--- a/libs/soak/vanillayoke/soak/servers.py
+++ b/libs/soak/vanillayoke/soak/servers.py
@@ -1,4 +1,4 @@
-"""The processes of stand-ins: the store, and servers with records."""
+"""Processes that emulate the store and servers."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class RecordingTarget(targets.FakeTarget):
-    """A server that writes down what it works on."""
+    """A server that records the requests it executes."""
 
     def __init__(self, name: str, service: str, slots: int) -> None:
         super().__init__(name, slots)
@@ -40,7 +40,7 @@
                 fields.AUTHORIZATION in run.headers,
             )
         )
-        # What ran stays in the records; memory must not grow with the run.
+        # Executions are in the records; don't keep them in memory as well.
         self.executions.clear()
         is_cut = True
         try:
@@ -56,13 +56,13 @@
 async def run_target(
     name: str, service: str, address: str, slots: int, events: int
 ) -> None:
-    """Serve as one server until standard input is closed."""
+    """Run a server until standard input is closed."""
     target = RecordingTarget(name, service, slots)
     target.event_count = events
     host, _, port = address.rpartition(':')
     await target.listen(host, int(port))
-    async for order in control.read_orders():
-        match order:
+    async for command in control.read_commands():
+        match command:
             case control.Fail(fault, times):
                 target.faults.extend([targets.Fault(fault)] * times)
             case control.Pace(gap):
@@ -70,33 +70,33 @@
 
 
 async def run_store(address: str) -> None:
-    """Serve as the store until standard input is closed."""
+    """Run the store until standard input is closed."""
     store = store_module.FakeStore()
     host, _, port = address.rpartition(':')
     await store.listen(host, int(port))
-    async for order in control.read_orders():
-        match order:
+    async for command in control.read_commands():
+        match command:
             case control.Put(table, key, content, record):
                 store.put(table, key, content)
                 if record is not None:
                     at = control.read_now()
-                    control.write_record(_stamp(record, at))
+                    control.write_record(_set_time(record, at))
             case control.Spoil(table, key):
                 store.corrupt(table, key)
             case control.Store():
-                _change(store, order)
+                _change(store, command)
 
 
-def _change(store: store_module.FakeStore, order: control.Store) -> None:
-    store.mode = store_module.Mode(order.mode)
-    store.response_delay = order.delay
-    store.lost_replies += order.lost_replies
-    store.late_writes += order.late_writes
-    if order.forget:
+def _change(store: store_module.FakeStore, command: control.Store) -> None:
+    store.mode = store_module.Mode(command.mode)
+    store.response_delay = command.delay
+    store.lost_replies += command.lost_replies
+    store.late_writes += command.late_writes
+    if command.forget:
         store.discard_history()
 
 
-def _stamp(record: records.Record, at: float) -> records.Record:
+def _set_time(record: records.Record, at: float) -> records.Record:
     match record:
         case records.Leaving(_, server_name):
             return records.Leaving(at, server_name)
@@ -106,7 +106,7 @@
 
 
 def run(arguments: list[str]) -> None:
-    """Run the stand-in that the arguments name."""
+    """Run the process that the arguments name."""
     match arguments:
         case ['store', address]:
             asyncio.run(run_store(address))
--- a/libs/soak/vanillayoke/soak/sites.py
+++ b/libs/soak/vanillayoke/soak/sites.py
@@ -1,4 +1,4 @@
-"""A site of processes on loopback: store, servers, links, instances."""
+"""Starts the processes of a run on loopback addresses."""
 
 import asyncio
 import json
@@ -14,23 +14,23 @@
 from vanillayoke.soak import records
 from vanillayoke.standins import calls
 
-SERVER_SLOTS = 6
-EVENTS = 4
-# Model servers, and servers of each of the services that take tools' calls.
-MODELS = 3
-TOOLS = 2
+SERVER_SLOT_COUNT = 6
+EVENT_COUNT = 4
+# TOOL_SERVER_COUNT servers run for each of TOOL_SERVICES.
+MODEL_SERVER_COUNT = 3
+TOOL_SERVER_COUNT = 2
 TOOL_SERVICES = ('tools-a', 'tools-b')
 ZONES = ('z1', 'z2', 'z3')
-# Last numbers of loopback addresses.
-_STORE, _INSTANCE, _SERVER = 1, 10, 130
-# A link's own address has the second number of the next network.
+# Last parts of loopback addresses; the bases are the first of a range.
+_STORE_HOST, _INSTANCE_BASE, _SERVER_BASE = 1, 10, 130
+# Links listen on the same ports, in the next network.
 _PORT, _STORE_PORT = 8080, 8142
 
 
 class Server:
-    """A server's place, where processes come and go.
+    """A server and its current process.
 
-    Each has a new name, but for one that starts again as what it was.
+    Each incarnation has a new name. A restart keeps incarnation and name.
     """
 
     def __init__(self, number: int, service: str) -> None:
@@ -38,17 +38,17 @@
         self.service = service
         self.incarnation = 0
         self.child: processes.Child | None = None
-        # When its process started, in milliseconds since 1970.
-        self.started = 0
+        # Start time of the process, in milliseconds since the epoch.
+        self.started_ms = 0
 
     @property
     def name(self) -> str:
-        """The name of the present incarnation."""
+        """The name of the current incarnation."""
         return f's{self.number}-{self.incarnation}'
 
 
 class Site:
-    """The processes of one run, in a folder of their own."""
+    """The processes of a run."""
 
     def __init__(
         self, folder: pathlib.Path, network: int, instances: int
@@ -57,18 +57,20 @@
         self._network = network
         self._count = instances
         self.instances: dict[str, processes.Child] = {}
-        self.servers = [Server(n, 'models') for n in range(MODELS)]
+        self.servers = [Server(n, 'models') for n in range(MODEL_SERVER_COUNT)]
         for service in TOOL_SERVICES:
             first = len(self.servers)
-            self.servers += [Server(first + n, service) for n in range(TOOLS)]
+            self.servers += [
+                Server(first + n, service) for n in range(TOOL_SERVER_COUNT)
+            ]
         self.version = 0
         self.keys = organisations.Keys()
-        # Routes that nobody calls, which all instances read and decode.
-        self.grown_routes = 0
+        # Number of unused routes, which make configurations large.
+        self.added_routes = 0
         self._children: list[processes.Child] = []
-        self._spare = instances
+        self._last_host_offset = instances
         self._tasks: set[asyncio.Task] = set()
-        self.seen: list[records.Record] = []
+        self.pending_records: list[records.Record] = []
         self.is_stopping = False
 
     # Addresses
@@ -77,13 +79,13 @@
         second = self._network + (1 if is_link else 0)
         return f'127.{second // 256 % 255 + 1}.{second % 256}.{number}'
 
-    def find_door(self, address: str) -> str:
-        """Return the link that callers reach an instance's address by."""
+    def find_caller_link(self, address: str) -> str:
+        """Return the address of the link that callers use for an instance."""
         number = int(address.partition(':')[0].rpartition('.')[2])
         return f'{self._make_host(number, True)}:8149'
 
     def list_directories(self) -> list[str]:
-        """Return where callers may ask for addresses."""
+        """Return the directory addresses of running instances."""
         return [
             f'{host}:8143'
             for host, child in self.instances.items()
@@ -93,17 +95,19 @@
     # Start
 
     async def start(self) -> None:
-        """Start everything; return once all instances are ready."""
-        own = ('-m', 'vanillayoke.soak')
-        store = f'{self._make_host(_STORE)}:{_STORE_PORT}'
-        self.store = await self._start_child('store', [*own, 'store', store])
-        self.links = await self._start_child('links', [*own, 'links'])
+        """Start all processes."""
+        command = ('-m', 'vanillayoke.soak')
+        store = f'{self._make_host(_STORE_HOST)}:{_STORE_PORT}'
+        self.store = await self._start_child(
+            'store', [*command, 'store', store]
+        )
+        self.links = await self._start_child('links', [*command, 'links'])
         await asyncio.sleep(0.5)
         self.configure()
         for server in self.servers:
             await self.start_server(server)
         for number in range(self._count):
-            await self.start_instance(self._make_host(_INSTANCE + number))
+            await self.start_instance(self._make_host(_INSTANCE_BASE + number))
 
     async def _start_child(
         self,
@@ -118,76 +122,86 @@
         return child
 
     async def start_server(
-        self, server: Server, is_reborn: bool = False
+        self, server: Server, is_restart: bool = False
     ) -> None:
-        """Start a new incarnation, or the same again, and register it."""
-        if not is_reborn:
+        """Start and register a new incarnation, or restart the current one."""
+        if not is_restart:
             server.incarnation += 1
-        server.started = int(time.time() * 1000)
-        number = _SERVER + server.number
+        server.started_ms = int(time.time() * 1000)
+        number = _SERVER_BASE + server.number
         address = f'{self._make_host(number)}:{_PORT}'
         link = f'{self._make_host(number, True)}:{_PORT}'
-        events = EVENTS if server.service == 'models' else 0
-        # Each process writes its records to a file of its own.
+        events = EVENT_COUNT if server.service == 'models' else 0
+        # The name is unique, so that processes don't share an output file.
         server.child = await self._start_child(
-            f'{server.name}-{server.started}',
+            f'{server.name}-{server.started_ms}',
             [
                 *('-m', 'vanillayoke.soak', 'target'),
                 *(server.name, server.service, address),
-                *(str(SERVER_SLOTS), str(events)),
+                *(str(SERVER_SLOT_COUNT), str(events)),
             ],
         )
-        self.links.order(control.Forward(link, address))
+        self.links.send_command(control.Forward(link, address))
         self.register(server, 'ready')
 
     def register(self, server: Server, state: str) -> None:
-        """Write a server's row; the store acknowledges that it leaves."""
-        link = f'{self._make_host(_SERVER + server.number, True)}:{_PORT}'
+        """Write a server's row, with a record if the server is draining."""
+        link = f'{self._make_host(_SERVER_BASE + server.number, True)}:{_PORT}'
         zone = ZONES[server.number % len(ZONES)]
         row = calls.make_server_row(
-            server.service, link, SERVER_SLOTS, state, zone, server.started
+            server.service,
+            link,
+            SERVER_SLOT_COUNT,
+            state,
+            zone,
+            server.started_ms,
         )
         record = None
         if state == 'draining':
             record = records.Leaving(0.0, server.name)
-        self.store.order(control.Put('servers', server.name, row, record))
+        self.store.send_command(
+            control.Put('servers', server.name, row, record)
+        )
 
-    def put_foreign(self, server: Server) -> list[str]:
-        """Write rows that name no server to use; return their keys.
+    def put_invalid_rows(self, server: Server) -> list[str]:
+        """Write invalid rows and return their keys.
 
-        Each has a server's address with another service or a spoiled field:
-        a request that goes there runs where it must not.
+        Rows hold a server's address with another service and a wrong or
+        missing field. Requests routed by such a row are violations.
         """
-        link = f'{self._make_host(_SERVER + server.number, True)}:{_PORT}'
+        link = f'{self._make_host(_SERVER_BASE + server.number, True)}:{_PORT}'
         others = {'models', *TOOL_SERVICES} - {server.service}
-        good = calls.make_server_row(
-            min(others), link, SERVER_SLOTS, 'ready', ZONES[0], 1
+        valid_row = calls.make_server_row(
+            min(others), link, SERVER_SLOT_COUNT, 'ready', ZONES[0], 1
         )
         rows = [
-            {**good, 'state': 'resting'},
-            {**good, 'slot_count': 'many'},
-            {**good, 'address': 7},
-            {name: good[name] for name in ('service', 'address', 'state')},
+            {**valid_row, 'state': 'resting'},
+            {**valid_row, 'slot_count': 'many'},
+            {**valid_row, 'address': 7},
+            {
+                name: valid_row[name]
+                for name in ('service', 'address', 'state')
+            },
         ]
         keys = [f'foreign-{number}' for number in range(len(rows))]
         for key, row in zip(keys, rows, strict=True):
-            self.store.order(control.Put('servers', key, row))
-        self.store.order(control.Spoil('servers', 'foreign-bytes'))
+            self.store.send_command(control.Put('servers', key, row))
+        self.store.send_command(control.Spoil('servers', 'foreign-bytes'))
         return [*keys, 'foreign-bytes']
 
     def unregister(self, name: str) -> None:
         """Remove a server's row."""
-        self.store.order(control.Put('servers', name, None))
+        self.store.send_command(control.Put('servers', name, None))
 
     def configure(self) -> None:
-        """Write the next version; calls of tools go to the other service."""
+        """Write the next configuration, with the other service for tools."""
         self.version += 1
         tools = TOOL_SERVICES[self.version % len(TOOL_SERVICES)]
         routes = calls.make_routes(tools)
         routes += calls.make_version_routes(self.version, TOOL_SERVICES[0])
         routes += [
             calls.make_route(f'grown{number}', tools, 'safe')
-            for number in range(self.grown_routes)
+            for number in range(self.added_routes)
         ]
         content = calls.make_configuration(
             self.version,
@@ -205,16 +219,16 @@
             tuple(self.keys.list_keys()),
             self.keys.compute_limit(),
         )
-        self.store.order(control.Put('op', 'config', content, record))
+        self.store.send_command(control.Put('op', 'config', content, record))
 
     async def start_instance(self, host: str) -> None:
-        """Start the process of an instance at an address."""
+        """Start an instance at an address."""
         number = int(host.rpartition('.')[2])
         store_link = f'{self._make_host(number, True)}:{_STORE_PORT}'
-        store = f'{self._make_host(_STORE)}:{_STORE_PORT}'
-        self.links.order(control.Forward(store_link, store))
-        door = self.find_door(host)
-        self.links.order(control.Forward(door, f'{host}:8149'))
+        store = f'{self._make_host(_STORE_HOST)}:{_STORE_PORT}'
+        self.links.send_command(control.Forward(store_link, store))
+        caller_link = self.find_caller_link(host)
+        self.links.send_command(control.Forward(caller_link, f'{host}:8149'))
         path = self.folder / f'settings-{number}.json'
         path.write_text(json.dumps(self._make_settings(host, store_link)))
         clock = self.folder / f'clock-{number}'
@@ -225,18 +239,18 @@
             {process_module.SETTINGS_VARIABLE: str(path)},
         )
         self.instances[host] = child
-        self._note(host, 'started')
+        self._record_process(host, 'started')
         task = asyncio.create_task(self._watch(host, child))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _watch(self, host: str, child: processes.Child) -> None:
         status = await child.wait()
-        self._note(host, 'ended', status)
+        self._record_process(host, 'ended', status)
 
-    def _note(self, host: str, event: str, status: int = 0) -> None:
+    def _record_process(self, host: str, event: str, status: int = 0) -> None:
         now = control.read_now()
-        self.seen.append(records.Process(now, host, event, status))
+        self.pending_records.append(records.Process(now, host, event, status))
 
     def _make_settings(self, host: str, store: str) -> dict:
         number = int(host.rpartition('.')[2])
@@ -245,13 +259,13 @@
         )
 
     def choose_host(self, subject: int) -> str:
-        """Return one of the instances that run."""
+        """Return the address of a running instance, or an empty string."""
         hosts = [h for h, child in self.instances.items() if child.is_running]
         return hosts[subject % len(hosts)] if hosts else ''
 
     def find_server_link(self, server: Server) -> str:
         """Return the address of the link to a server."""
-        return f'{self._make_host(_SERVER + server.number, True)}:{_PORT}'
+        return f'{self._make_host(_SERVER_BASE + server.number, True)}:{_PORT}'
 
     def find_store_link(self, host: str) -> str:
         """Return the address of an instance's link to the store."""
@@ -259,39 +273,39 @@
         return f'{self._make_host(number, True)}:{_STORE_PORT}'
 
     def choose_new_host(self) -> str:
-        """Return an address at which no instance has been."""
-        self._spare += 1
-        return self._make_host(_INSTANCE + self._spare)
+        """Return an address that no instance has used."""
+        self._last_host_offset += 1
+        return self._make_host(_INSTANCE_BASE + self._last_host_offset)
 
     def step_clock(self, host: str, seconds: float) -> None:
-        """Let an instance's time of day differ by so much from now on."""
+        """Set the offset of an instance's wall clock."""
         number = int(host.rpartition('.')[2])
         (self.folder / f'clock-{number}').write_text(str(seconds))
 
-    def tell_to_stop(self, host: str) -> None:
-        """Begin an instance's planned stop."""
+    def request_stop(self, host: str) -> None:
+        """Ask an instance to stop gracefully."""
         child = self.instances.get(host)
         if child is not None and child.is_running:
-            self._note(host, 'told')
+            self._record_process(host, 'told')
             child.signal(signal.SIGTERM)
 
-    # What was seen
+    # Records
 
-    def collect(self) -> list[records.Record]:
-        """Return what was seen since the last call."""
-        found, self.seen = self.seen, []
+    def collect_records(self) -> list[records.Record]:
+        """Return the records since the last call."""
+        found, self.pending_records = self.pending_records, []
         for child in self._children:
             if child.name.startswith(('s', 'links')):
                 found += child.read_records()
         return found
 
     async def stop(self) -> None:
-        """End all processes."""
+        """Kill all processes."""
         self.is_stopping = True
-        await asyncio.gather(*(child.end() for child in self._children))
+        await asyncio.gather(*(child.kill() for child in self._children))
         await asyncio.gather(*self._tasks)
 
 
 def choose_network(number: int) -> int:
-    """Return the network of a run, apart from those of others here."""
+    """Return a network that concurrent runs on this machine don't use."""
     return (os.getpid() * 8 + number * 2) % (250 * 256)
--- a/libs/soak/vanillayoke/soak/violations.py
+++ b/libs/soak/vanillayoke/soak/violations.py
@@ -1,11 +1,11 @@
-"""A promise that a run has broken."""
+"""Violations of guarantees."""
 
 import typing
 
 
 class Violation(typing.NamedTuple):
-    """A promise that was broken, by which request or process."""
+    """A violated guarantee, and the request or process concerned."""
 
-    promise: str
+    guarantee: str
     subject: str
     detail: str
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -51,7 +51,7 @@
     history.add(records.Accepted(0.0, 1, SERVICES))
     for record in added:
         history.add(record)
-    return [one.promise for one in checks.check_all(history, cutoff)]
+    return [one.guarantee for one in checks.check_all(history, cutoff)]
 
 
 GOOD = (_send('a'), _start('a'), _answer('a'))
