--- a/libs/cli/vanillayoke/cli/access.py
+++ b/libs/cli/vanillayoke/cli/access.py
@@ -4,11 +4,13 @@
 where every user of the machine could read it.
 """
 
+import typing
+
 from absl import flags
+
 from vanillayoke.cli import commands
 from vanillayoke.cli import operators
 from vanillayoke.settings import value_checks
-import typing
 
 ENTRY_VARIABLE = 'VANILLAYOKE_ENTRY'
 KEY_VARIABLE = 'VANILLAYOKE_OPERATOR_KEY'
--- a/libs/cli/vanillayoke/cli/management/commands/show.py
+++ b/libs/cli/vanillayoke/cli/management/commands/show.py
@@ -1,6 +1,10 @@
 """Show a folder's merged settings and the origin of each value."""
 
+import json
+import os
+
 from absl import flags
+
 from vanillayoke.cli import commands
 from vanillayoke.cli import exits
 from vanillayoke.cli import queries
@@ -10,8 +14,6 @@
 from vanillayoke.settings import loading
 from vanillayoke.settings import origins
 from vanillayoke.settings import sources
-import json
-import os
 
 ARGUMENTS = ('FOLDER',)
 
--- a/libs/cli/vanillayoke/cli/stores.py
+++ b/libs/cli/vanillayoke/cli/stores.py
@@ -1,6 +1,12 @@
 """Access of commands to the platform's table and object store."""
 
+import asyncio
+import contextlib
+import random
+import typing
+
 from absl import flags
+
 from vanillayoke.cli import commands
 from vanillayoke.core import timers
 from vanillayoke.platform import attempts
@@ -9,10 +15,6 @@
 from vanillayoke.platform import publishing
 from vanillayoke.platform import retrying
 from vanillayoke.settings import process_checks
-import asyncio
-import contextlib
-import random
-import typing
 
 CALLER = 'operator'
 MAX_REQUEST_SECONDS = 3.0
--- a/tests/cli/test_remote.py
+++ b/tests/cli/test_remote.py
@@ -1,9 +1,10 @@
 """Tests of commands that query instances, and of apply and diff."""
 
+import json
+
 from tests.cli import cli_fixtures
 from tests.settings import broken
 from vanillayoke.testing import fixtures
-import json
 
 _PROGRAM = {
     'program': 'prg-1',
--- a/tests/gateway/site_fixtures.py
+++ b/tests/gateway/site_fixtures.py
@@ -1,12 +1,14 @@
 """Fixtures and helpers for tests with a site on a simulated network."""
 
+import asyncio
+
 from tests.gateway import site as site_module
 from vanillayoke.core import timers
 from vanillayoke.gateway import rendezvous
 from vanillayoke.testing import fixtures
 from vanillayoke.testing import networks
 from vanillayoke.transport import client
-import asyncio
+
 
 @fixtures.fixture
 def clock(loop):
--- a/tests/gateway/test_limits_rolls.py
+++ b/tests/gateway/test_limits_rolls.py
@@ -1,11 +1,12 @@
 """Tests of a limit while instances are replaced, cut off or lost."""
 
+import asyncio
+
 from tests.gateway import site as site_module
 from tests.gateway import site_fixtures
 from tests.gateway import test_limits
 from vanillayoke.scheduling import quotas
 from vanillayoke.testing import fixtures
-import asyncio
 
 INSTANCE_COUNT = 24
 GROUP_SIZE = 4
