--- a/libs/gateway/vanillayoke/gateway/availability.py
+++ b/libs/gateway/vanillayoke/gateway/availability.py
@@ -24,7 +24,7 @@
 
 
 class Availability:
-    """Records the results of calls and tells what to expect of the next."""
+    """Records the results of calls to the store and detects outages."""
 
     def __init__(self) -> None:
         self.is_unavailable = False
@@ -67,18 +67,18 @@
         partition: str,
         now: float,
         is_rate_limited: bool = False,
-        began: float | None = None,
+        sent_at: float | None = None,
     ) -> bool:
         """Record a failure; return whether an outage starts with it.
 
         ``is_rate_limited`` says that the call was refused for the rate of
         calls; this sets neither ``has_recent_failure`` nor
-        ``correlated_failure_at``. ``began`` is when the call was sent, by
+        ``correlated_failure_at``. ``sent_at`` is when the call was sent, by
         default now.
         """
         if not is_rate_limited:
             self._record_partition_failure(partition, now)
-        if began is not None and began < self._succeeded_at:
+        if sent_at is not None and sent_at < self._succeeded_at:
             # Calls sent during an outage time out up to seconds after its end.
             # They must not count as another outage, even if no call succeeds
             # in between.
--- a/libs/gateway/vanillayoke/gateway/catalog.py
+++ b/libs/gateway/vanillayoke/gateway/catalog.py
@@ -10,7 +10,7 @@
 
 # Rows expire while the store accepts no heartbeats. After the recovery of the
 # store, a target whose row is missing is kept for this time.
-LAPSE_GRACE_SECONDS = 2.2
+MISSING_ROW_GRACE_SECONDS = 2.2
 
 
 class Catalog:
--- a/libs/gateway/vanillayoke/gateway/dispatch.py
+++ b/libs/gateway/vanillayoke/gateway/dispatch.py
@@ -243,27 +243,32 @@
     ) -> occupancy.Candidate | None:
         """Return the best target, ``None`` if none has a free slot."""
         candidates = [make_candidate(target) for target in targets]
-        state, random_float = (
+        target_occupancy, random_float = (
             self._context.occupancy,
             self._context.random_float,
         )
         now = self._context.timers.now()
         local, remote = occupancy.choose_candidates(
-            candidates, state, criteria, excluded, now, random_float
+            candidates, target_occupancy, criteria, excluded, now, random_float
         )
         loads = await self._context.load_queries.query(local)
         now = self._context.timers.now()
         best = occupancy.choose_least_loaded(
-            local, loads, state, criteria, now, random_float
+            local, loads, target_occupancy, criteria, now, random_float
         )
         if best is None or not occupancy.is_lightly_loaded(
-            best, loads, state, criteria
+            best, loads, target_occupancy, criteria
         ):
             loads |= await self._context.load_queries.query(remote)
             now = self._context.timers.now()
             considered = [*local, *remote]
             best = occupancy.choose_least_loaded(
-                considered, loads, state, criteria, now, random_float
+                considered,
+                loads,
+                target_occupancy,
+                criteria,
+                now,
+                random_float,
             )
         load = loads.get(best.name) if best is not None else None
         progress.target_load = None if load is None else load.requests
--- a/libs/gateway/vanillayoke/gateway/histories.py
+++ b/libs/gateway/vanillayoke/gateway/histories.py
@@ -66,19 +66,19 @@
     async def save(
         self,
         turn: str,
-        base: str,
+        previous_turn: str,
         history: bytes,
         new_text: bytes,
         deadline: float,
     ) -> None:
         """Store a turn that has run, waiting for the store if necessary.
 
-        ``base`` is the previous turn, or empty. Raise ``StoreError`` if it
+        ``previous_turn`` is empty if there is none. Raise ``StoreError`` if it
         is unknown at the deadline whether the turn is stored.
         """
         rows = transcripts.make_rows(
             turn,
-            base,
+            previous_turn,
             history,
             new_text,
             self._store.row_bytes,
--- a/libs/gateway/vanillayoke/gateway/instance.py
+++ b/libs/gateway/vanillayoke/gateway/instance.py
@@ -150,14 +150,14 @@
         )
         self.is_draining = True
         self._log.write(log_events.DRAIN_STARTED, reason='stop requested')
-        self._front_server.drain()
+        self._caller_server.drain()
         self._members.leave()
         self._reservations.is_leaving = True
         await self._reservations.hand_over()
         min_drain_end = started_at + MIN_DRAIN_SECONDS
         while self._timers.now() < deadline:
             may_end = self._timers.now() >= min_drain_end
-            if may_end and not self._front_server.active_connections:
+            if may_end and not self._caller_server.active_connections:
                 break
             await self._timers.sleep(0.05)
         for http_server, _ in self._listeners:
@@ -347,9 +347,9 @@
             on_failure=self._instrumentation.record_failure,
             on_refused=self._instrumentation.record_refused_connection,
         )
-        self._front_server = make(handler.handle)
+        self._caller_server = make(handler.handle)
         self._listeners = [
-            (self._front_server, self.settings.front),
+            (self._caller_server, self.settings.front),
             (make(self._endpoints.handle_readiness), self.settings.ready),
             (make(self._endpoints.handle_lookup), self.settings.directory),
             (make(self._endpoints.handle_relay), self._relay_address),
@@ -439,7 +439,7 @@
     def _apply_caller_limits(self) -> None:
         configuration = self._catalog.configuration
         if configuration is not None:
-            self._front_server.limits = server.Limits(*configuration.limits)
+            self._caller_server.limits = server.Limits(*configuration.limits)
 
     def _spawn(self, coroutine: typing.Coroutine) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -53,7 +53,7 @@
 class LimitAccounts:
     """Counts and admits requests on behalf of all instances.
 
-    ``find_lost_share`` returns the share of instances lost within a window.
+    ``get_lost_ratio`` returns the ratio of instances lost within a window.
     ``is_leaving`` returns whether another instance is to be the coordinator.
     """
 
@@ -63,14 +63,14 @@
         store: store_module.StoreClient,
         timer_service: timers.TimerService,
         spawn: typing.Callable[[typing.Coroutine], None],
-        find_lost_share: typing.Callable[[], float],
+        get_lost_ratio: typing.Callable[[], float],
         is_leaving: typing.Callable[[], bool],
     ) -> None:
         self._window = window
         self._store = store
         self._timers = timer_service
         self._spawn = spawn
-        self._find_lost_share = find_lost_share
+        self._get_lost_ratio = get_lost_ratio
         self._is_leaving = is_leaving
         self._statistics = quotas.ProgramStatistics()
         self._entries: dict[str, _Entry] = {}
@@ -132,8 +132,8 @@
         if report.is_full:
             account.window.remove_reporter(report.reporter)
         for record in report.records:
-            at = now - record.age_ms / 1000
-            account.window.add(report.reporter, at, record.count)
+            admitted_at = now - record.age_ms / 1000
+            account.window.add(report.reporter, admitted_at, record.count)
             request = quotas.AdmissionRequest(record.program, record.route)
             account.record(request, record.count, now)
             entry.unsaved_count += record.count
@@ -152,9 +152,9 @@
         now = self._timers.now()
         account = entry.account
         if now >= entry.settled_at:
-            lost_share = self._find_lost_share()
+            lost_ratio = self._get_lost_ratio()
             reserve = quotas.get_reserve(
-                account.limit, lost_share, entry.is_loaded
+                account.limit, lost_ratio, entry.is_loaded
             )
         else:
             reserve = quotas.get_initial_reserve(
@@ -230,8 +230,8 @@
         saved = SavedAccount(
             self._timers.wall(),
             tuple(
-                (now - at, count)
-                for at, count in entry.account.window.list_counts()
+                (now - admitted_at, count)
+                for admitted_at, count in entry.account.window.list_counts()
             ),
         )
         transaction = messages.Transaction(
--- a/libs/gateway/vanillayoke/gateway/limits.py
+++ b/libs/gateway/vanillayoke/gateway/limits.py
@@ -34,7 +34,7 @@
 # Highest-ranked instances cached for each organisation.
 MAX_RANKED = 8
 # Retry delay of requests refused because no coordinator can be reached.
-ISOLATED_RETRY_SECONDS = 0.25
+NO_COORDINATOR_RETRY_SECONDS = 0.25
 # How long an instance cut off from most others assumes that these still have
 # a coordinator.
 MAX_ISOLATION_SECONDS = 15.0
@@ -74,7 +74,7 @@
         self.coordinator: str | None = None
         self.has_changed_coordinator = False
         self.is_near_limit = False
-        self.is_cut_off = False
+        self.lacks_coordinator = False
         self.is_report_scheduled = False
         # When the coordinator last responded.
         self.responded_at = float('-inf')
@@ -200,7 +200,7 @@
                 self._schedule_report(name, usage)
 
     def _must_ask(self, usage: _Usage, now: float) -> bool:
-        if usage.is_near_limit or usage.is_cut_off:
+        if usage.is_near_limit or usage.lacks_coordinator:
             return True
         if now - usage.responded_at < STATUS_LIFETIME_SECONDS:
             return False
@@ -231,7 +231,7 @@
         while True:
             response = await self._send_report(organisation, usage, request)
             if response is None:
-                self._admit_isolated(usage, request)
+                self._admit_without_coordinator(usage, request)
                 return
             if response.refusal_reason is None:
                 # The coordinator has counted the request already.
@@ -251,7 +251,7 @@
                 )
             await self._timers.sleep(response.retry_after)
 
-    def _admit_isolated(
+    def _admit_without_coordinator(
         self, usage: _Usage, request: quotas.AdmissionRequest
     ) -> None:
         """Admit this instance's even share of the tolerance.
@@ -267,7 +267,7 @@
             raise refusals.RefusalError(
                 refusals.Reason.OVER_LIMIT,
                 'no coordinator of the limit responds',
-                ISOLATED_RETRY_SECONDS,
+                NO_COORDINATOR_RETRY_SECONDS,
             )
         usage.add(now, request, 1)
 
@@ -314,7 +314,7 @@
             response = await self._deliver(coordinator, report)
             if isinstance(response, peer_messages.LimitStatus):
                 usage.is_near_limit = response.is_near_limit
-                usage.is_cut_off = False
+                usage.lacks_coordinator = False
                 usage.responded_at = self._timers.now()
                 return response
             self._unresponsive[coordinator] = self._timers.now()
@@ -322,7 +322,7 @@
             # gets a complete report.
             usage.coordinator = None
             usage.has_changed_coordinator = True
-        usage.is_cut_off = True
+        usage.lacks_coordinator = True
         return None
 
     def _make_report(
--- a/libs/gateway/vanillayoke/gateway/members.py
+++ b/libs/gateway/vanillayoke/gateway/members.py
@@ -42,7 +42,7 @@
     )
 )
 
-_ROWS = msgspec.json.Decoder(messages.InstanceRow)
+_ROW_DECODER = msgspec.json.Decoder(messages.InstanceRow)
 
 
 class Members:
@@ -68,7 +68,7 @@
             )
         self._send = send
         self._on_change = on_change
-        self._received_at = timer_service.now()
+        self._last_received_at = timer_service.now()
         member = cluster_messages.Member(
             me.instance, me.incarnation, me.zone, me.region, me.front, me.peer
         )
@@ -89,7 +89,7 @@
 
     def receive(self, data: bytes, sender: str) -> None:
         """Handle a membership datagram from another instance."""
-        self._received_at = self._timers.now()
+        self._last_received_at = self._timers.now()
         packet = cluster_messages.decode_packet(data)
         if packet is not None:
             self._decide(membership_events.Received(packet.message))
@@ -102,7 +102,7 @@
                 self._decide(membership_events.Removed(instance))
             return
         try:
-            row = _ROWS.decode(value)
+            row = _ROW_DECODER.decode(value)
         except msgspec.DecodeError:
             return
         self._listed[key] = row.instance
@@ -203,7 +203,7 @@
         This detects a network partition before the probes of all the other
         instances have failed.
         """
-        idle = self._timers.now() - self._received_at
+        idle = self._timers.now() - self._last_received_at
         return (
             idle > LOST_CONTACT_SECONDS and len(self._listed) > MIN_OTHER_COUNT
         )
@@ -234,9 +234,9 @@
 
     def _schedule(self) -> None:
         delay = max(0.0, self._membership.next_wake() - self._timers.now())
-        self._probe_timer = self._timers.call_after(delay, self._fire)
+        self._probe_timer = self._timers.call_after(delay, self._tick)
 
-    def _fire(self) -> None:
+    def _tick(self) -> None:
         self._decide(membership_events.Ticked())
         self._schedule()
 
--- a/libs/gateway/vanillayoke/gateway/reservations.py
+++ b/libs/gateway/vanillayoke/gateway/reservations.py
@@ -35,7 +35,7 @@
 MAX_CREDIT_WRITES = 10
 # Rounds of collecting tokens from other instances for one turn.
 MAX_COLLECTION_ROUNDS = 4
-MAX_REMEMBERED = 2000
+MAX_RECENT_KEYS = 2000
 # Interval of the check that the event loop is running.
 TICK_INTERVAL_SECONDS = 0.25
 
@@ -54,13 +54,13 @@
     target: str | None = None
 
 
-def _remember(
+def _add_bounded(
     keys: collections.OrderedDict[typing.Any, None], key: typing.Any
 ) -> None:
     """Add a key, and evict the oldest one beyond the maximum size."""
     keys[key] = None
     keys.move_to_end(key)
-    if len(keys) > MAX_REMEMBERED:
+    if len(keys) > MAX_RECENT_KEYS:
         keys.popitem(last=False)
 
 
@@ -299,7 +299,7 @@
         is_new = not self._ledger.has_account(request.program)
         now = self._timers.now()
         if is_new and self._exclusivity.had_recent_store_failure(now):
-            _remember(self._uncharged, request.program)
+            _add_bounded(self._uncharged, request.program)
         self._charge_former_credit(request)
         return request.need
 
@@ -374,8 +374,8 @@
             request.program, request.turn, request.used
         )
         if not was_reserved:
-            _remember(self._reserved_elsewhere, request.program)
-        _remember(self._ended_turns, (request.program, request.turn))
+            _add_bounded(self._reserved_elsewhere, request.program)
+        _add_bounded(self._ended_turns, (request.program, request.turn))
         self._program_tracker.record_delay(
             request.program,
             request.session,
@@ -428,7 +428,7 @@
                 self._ledger.deposit(program, tokens)
                 return peer_messages.Granted()
             case peer_messages.HandOver(program, requester):
-                _remember(self._reserved_elsewhere, program)
+                _add_bounded(self._reserved_elsewhere, program)
                 if self._ledger.has_unconfirmed_writes(program):
                     return self._confirm_and_release(program, requester)
                 return self._transfers.release(program, requester)
--- a/libs/gateway/vanillayoke/gateway/store.py
+++ b/libs/gateway/vanillayoke/gateway/store.py
@@ -292,26 +292,26 @@
         request: dialect_module.StoreRequest,
         timeout_seconds: float,
     ) -> tuple[int, bytes]:
-        began = self._timers.now()
+        sent_at = self._timers.now()
         try:
             status, body = await self._exchange(
                 self._settings.address, request, timeout_seconds
             )
         except client.NotSent as error:
-            self._record_failure(kind, partition, 'unreachable', began)
+            self._record_failure(kind, partition, 'unreachable', sent_at)
             raise StoreRefusedError(str(error)) from error
         except (client.TransportError, TimeoutError) as error:
-            self._record_no_response(kind, partition, began)
+            self._record_no_response(kind, partition, sent_at)
             raise StoreOutcomeUnknownError(
                 str(error) or 'no response'
             ) from error
         if status in _REFUSALS:
             is_rate_limited = status == _TOO_MANY_REQUESTS
             self._record_failure(
-                kind, partition, 'refused', began, is_rate_limited
+                kind, partition, 'refused', sent_at, is_rate_limited
             )
             raise StoreRefusedError(f'the store returned status {status}')
-        self._record_success(kind, partition, began)
+        self._record_success(kind, partition, sent_at)
         return status, body
 
     async def _call_by_relay(
@@ -348,7 +348,7 @@
         request: dialect_module.StoreRequest,
         timeout_seconds: float,
     ) -> tuple[int, bytes]:
-        began = self._timers.now()
+        sent_at = self._timers.now()
         try:
             status, body = await self._exchange(
                 relay, request, timeout_seconds
@@ -359,7 +359,7 @@
             raise StoreOutcomeUnknownError(
                 str(error) or 'no response'
             ) from error
-        duration = self._timers.now() - began
+        duration = self._timers.now() - sent_at
         if status == REFUSED_STATUS:
             self._observer.on_call(kind, 'relay_refused', duration)
             raise StoreRefusedError(
@@ -402,9 +402,11 @@
         except dialect_module.BadRowError as error:
             raise StoreOutcomeUnknownError(str(error)) from error
 
-    def _record_success(self, kind: str, partition: str, began: float) -> None:
+    def _record_success(
+        self, kind: str, partition: str, sent_at: float
+    ) -> None:
         now = self._timers.now()
-        duration = now - began
+        duration = now - sent_at
         self._observer.on_call(kind, 'answered', duration)
         if kind != 'follow':
             self.average_latency += (duration - self.average_latency) / 4
@@ -416,29 +418,29 @@
             self._observer.on_change(True)
 
     def _record_no_response(
-        self, kind: str, partition: str, began: float
+        self, kind: str, partition: str, sent_at: float
     ) -> None:
         # Back off: a call without a response doubles the timeout of the next
         # one, so that a slow store is not sent calls faster than it responds.
         if kind not in ('follow', 'probe'):
-            duration = self._timers.now() - began
+            duration = self._timers.now() - sent_at
             self.average_latency = max(
                 self.average_latency, 2 * duration / TIMEOUT_FACTOR
             )
-        self._record_failure(kind, partition, 'silent', began)
+        self._record_failure(kind, partition, 'silent', sent_at)
 
     def _record_failure(
         self,
         kind: str,
         partition: str,
         outcome: str,
-        began: float,
+        sent_at: float,
         is_rate_limited: bool = False,
     ) -> None:
         now = self._timers.now()
-        self._observer.on_call(kind, outcome, now - began)
+        self._observer.on_call(kind, outcome, now - sent_at)
         if self.availability.record_failure(
-            partition, now, is_rate_limited, began
+            partition, now, is_rate_limited, sent_at
         ):
             self._recovered.clear()
             self._outage_started.set()
--- a/libs/gateway/vanillayoke/gateway/table_sync.py
+++ b/libs/gateway/vanillayoke/gateway/table_sync.py
@@ -189,7 +189,7 @@
         last_outage_at = max(
             availability.recovered_at, availability.correlated_failure_at
         )
-        deadline = last_outage_at + catalog_module.LAPSE_GRACE_SECONDS
+        deadline = last_outage_at + catalog_module.MISSING_ROW_GRACE_SECONDS
         return deadline if self._timers.now() < deadline else None
 
     # Instances
--- a/libs/programs/vanillayoke/programs/transcripts.py
+++ b/libs/programs/vanillayoke/programs/transcripts.py
@@ -46,7 +46,7 @@
 
 def make_rows(
     turn: str,
-    base: str,
+    previous_turn: str,
     history: bytes,
     new_text: bytes,
     row_bytes: int,
@@ -54,10 +54,11 @@
 ) -> list[tuple[str, bytes]]:
     """Return the keys and values of the rows that store a turn."""
     has_full_text = (
-        len(history) + len(new_text) <= MAX_FULL_TEXT_BYTES or not base
+        len(history) + len(new_text) <= MAX_FULL_TEXT_BYTES
+        or not previous_turn
     )
     text = history + new_text if has_full_text else new_text
-    stored_base = '' if has_full_text else base
+    base = '' if has_full_text else previous_turn
     # The row limit may apply after base64, which adds a third to the size.
     max_part_bytes = row_bytes * 3 // 4 - ROW_OVERHEAD_BYTES
     parts = [
@@ -67,7 +68,7 @@
     return [
         (
             make_row_key(turn, index),
-            _ENCODER.encode(TurnRow(stored_base, len(parts), time, part)),
+            _ENCODER.encode(TurnRow(base, len(parts), time, part)),
         )
         for index, part in enumerate(parts)
     ]
--- a/tests/gateway/test_availability.py
+++ b/tests/gateway/test_availability.py
@@ -42,15 +42,15 @@
     Probes sent while the store was unresponsive time out after its recovery.
     """
     for number in range(3):
-        store.record_failure(f'a{number}', 1.0, began=0.5)
+        store.record_failure(f'a{number}', 1.0, sent_at=0.5)
     case.assertTrue(store.is_unavailable)
     store.record_success('b', 6.0)
     for number in range(10):
         now = 6.1 + number / 4
-        store.record_failure(f'c{number}', now, began=now - 2.5)
+        store.record_failure(f'c{number}', now, sent_at=now - 2.5)
     case.assertFalse(store.is_unavailable)
     for number in range(3):
-        store.record_failure(f'd{number}', 9.0, began=8.5)
+        store.record_failure(f'd{number}', 9.0, sent_at=8.5)
     case.assertTrue(store.is_unavailable)
 
 
--- a/tests/gateway/test_load_queries.py
+++ b/tests/gateway/test_load_queries.py
@@ -74,12 +74,12 @@
     for number in range(12):
         await site.call(f'i{1 + number % 2}', 'order')
     await asyncio.sleep(2.0)
-    for front in site.instances.values():
+    for instance in site.instances.values():
         for name in ('t1', 't2'):
-            answer = front._load_queries.handle_request(
+            response = instance._load_queries.handle_request(
                 peer_messages.LoadQuery(name)
             )
-            case.assertLess(answer.requests, 0.01)
+            case.assertLess(response.requests, 0.01)
 
 
 async def test_program_keeps_its_engine_over_instances(case, site):
