--- a/libs/cluster/vanillayoke/cluster/membership.py
+++ b/libs/cluster/vanillayoke/cluster/membership.py
@@ -21,7 +21,7 @@
 # If a member lacks more than this ratio of the records, it is sent many.
 LARGE_GAP_RATIO = 0.1
 DEPARTURE_NOTICE_COUNT = 4
-FORGET_INTERVAL_SECONDS = 30.0
+PRUNE_INTERVAL_SECONDS = 30.0
 
 
 class Membership:
@@ -50,7 +50,7 @@
         self._listed: set[str] = set()
         # Instances that start together must not probe at the same time.
         self._next_probe = now + rng.random() * settings.interval
-        self._next_forget = now + FORGET_INTERVAL_SECONDS
+        self._next_prune = now + PRUNE_INTERVAL_SECONDS
         self._actions: list[membership_events.Action] = []
         self._gossip.put(messages.MemberUpdate(me))
 
@@ -80,7 +80,7 @@
 
     def next_wake(self) -> float:
         """Return when ``Ticked`` is due next."""
-        times = [self._next_probe, self._next_forget]
+        times = [self._next_probe, self._next_prune]
         if self._probe is not None and self._probe.retry_at is not None:
             times.append(self._probe.retry_at)
         deadline = self._table.find_next_deadline()
@@ -108,8 +108,8 @@
         for entry in self._table.list_overdue(now):
             failed = entry.member._replace(state=messages.State.FAILED)
             self._merge_member(failed, now)
-        if now >= self._next_forget:
-            self._forget(now)
+        if now >= self._next_prune:
+            self._prune(now)
 
     def _allow_for_pause(self, now: float) -> None:
         # After a pause of the process all deadlines have passed at once, while
@@ -120,7 +120,7 @@
             return
         delay += self._settings.timeout
         self._next_probe += delay
-        self._next_forget += delay
+        self._next_prune += delay
         self._table.postpone(delay)
         if self._probe is not None and self._probe.retry_at is not None:
             self._probe.retry_at += delay
@@ -272,9 +272,9 @@
 
     def _forward_ping(self, request: messages.PingRequest, now: float) -> None:
         self._last_sequence += 1
-        expires = now + self._settings.interval
+        expires_at = now + self._settings.interval
         relay = membership_probes.Relay(
-            request.reply_to, request.sequence, expires
+            request.reply_to, request.sequence, expires_at
         )
         if not self._relays.add(self._last_sequence, relay):
             return
@@ -311,7 +311,7 @@
             self._table.suspect(entry, now + self._suspicion_time())
         if entry.is_confirmed:
             self._gossip.put(messages.MemberUpdate(record))
-        self._place(record)
+        self._assign_ring(record)
         self._act(membership_events.MemberChanged(change.before, change.after))
 
     def _suspicion_time(self) -> float:
@@ -320,13 +320,13 @@
         members = len(self._table) + 1
         return self._settings.suspicion * max(1.0, math.log2(members) / 2)
 
-    def _place(self, member: messages.Member) -> None:
+    def _assign_ring(self, member: messages.Member) -> None:
         if member.state is messages.State.LEFT:
             self._plan.discard(member.instance)
             return
         local = member.region == self.me.region
         failed = member.state is messages.State.FAILED
-        self._plan.place(member.instance, local, failed)
+        self._plan.assign_ring(member.instance, local, failed)
 
     def _refute(self, record: messages.Member) -> None:
         if not membership_table.is_newer(record, self.me):
@@ -370,9 +370,9 @@
             notice = messages.Notice(self.me.instance, updates)
             self._act(membership_events.Send(member.peer_address, notice))
 
-    def _forget(self, now: float) -> None:
-        self._next_forget = now + FORGET_INTERVAL_SECONDS
-        for instance in self._table.forget(now, self._listed):
+    def _prune(self, now: float) -> None:
+        self._next_prune = now + PRUNE_INTERVAL_SECONDS
+        for instance in self._table.prune(now, self._listed):
             self._plan.discard(instance)
 
     def _act(self, action: membership_events.Action) -> None:
--- a/libs/cluster/vanillayoke/cluster/membership_probes.py
+++ b/libs/cluster/vanillayoke/cluster/membership_probes.py
@@ -74,7 +74,7 @@
         self._failed = Ring(rng)
         self._probe_count = 0
 
-    def place(self, name: str, local: bool, failed: bool) -> None:
+    def assign_ring(self, name: str, local: bool, failed: bool) -> None:
         """Put a member into the ring of its region or of failed members."""
         if failed:
             ring_of_member = self._failed
@@ -125,7 +125,7 @@
 
     reply_to: str
     sequence: int
-    expires: float
+    expires_at: float
 
 
 class Relays:
@@ -150,5 +150,5 @@
         self._relays = {
             sequence: relay
             for sequence, relay in self._relays.items()
-            if relay.expires > now
+            if relay.expires_at > now
         }
--- a/libs/cluster/vanillayoke/cluster/membership_table.py
+++ b/libs/cluster/vanillayoke/cluster/membership_table.py
@@ -132,20 +132,20 @@
         for entry in self._suspected.values():
             entry.fails_at += delay
 
-    def forget(self, now: float, listed: typing.Container[str]) -> list[str]:
+    def prune(self, now: float, listed: typing.Container[str]) -> list[str]:
         """Drop members that failed or left long ago; return their names.
 
         Their records must outlive the packets that still report them alive, or
         else these would add them again.
         """
-        forgotten = [
+        pruned = [
             instance
             for instance, entry in self._entries.items()
-            if _is_forgettable(entry, now, instance in listed)
+            if _can_prune(entry, now, instance in listed)
         ]
-        for instance in forgotten:
+        for instance in pruned:
             del self._entries[instance]
-        return forgotten
+        return pruned
 
     def cycle(self, count: int) -> list[messages.Member]:
         """Return the next members in a cycle, only those alive or leaving.
@@ -164,7 +164,7 @@
         return chosen
 
 
-def _is_forgettable(entry: Entry, now: float, listed: bool) -> bool:
+def _can_prune(entry: Entry, now: float, listed: bool) -> bool:
     age = now - entry.since
     match entry.member.state:
         case messages.State.LEFT:
--- a/tests/gateway/test_all_leave.py
+++ b/tests/gateway/test_all_leave.py
@@ -70,9 +70,9 @@
         for _ in range(MAX_ATTEMPTS):
             if self.is_stopped:
                 return False
-            answer = await self._try(program, budget, route)
-            if answer in (200, 402):
-                return answer == 200
+            response = await self._try(program, budget, route)
+            if response in (200, 402):
+                return response == 200
             await asyncio.sleep(self._rng.uniform(0.05, 0.4))
         return False
 
@@ -82,18 +82,18 @@
         instance = self._rng.choice(list(site.instances))
         # The maximum is counted while the turn may be running.
         self._used[program] += MAX_TURN_TOKENS
-        answer = await site_fixtures.try_turn(
+        response = await site_fixtures.try_turn(
             site, instance, request, program, budget, MAX_TURN_TOKENS, route
         )
-        if answer is None:
+        if response is None:
             return None
-        used = answer.body.count(b'data') * TOKENS_PER_EVENT
-        if answer.status != 200 and site.list_runs(request):
+        used = response.body.count(b'data') * TOKENS_PER_EVENT
+        if response.status != 200 and site.list_runs(request):
             used = MAX_TURN_TOKENS
         self._used[program] += used - MAX_TURN_TOKENS
-        if answer.status == 402:
+        if response.status == 402:
             self._check(program, budget)
-        return answer.status
+        return response.status
 
     def _check(self, program, budget):
         charge = max(MAX_TURN_TOKENS, int(budget * CHARGE_RATIO))
--- a/tests/gateway/test_credit.py
+++ b/tests/gateway/test_credit.py
@@ -45,8 +45,8 @@
     await site.start(3)
     await _stop_store(site)
     began = site.timers.now()
-    answers = [await _turn(site, 'i1', number) for number in range(3)]
-    case.assertEqual([200] * 3, [answer.status for answer in answers])
+    responses = [await _turn(site, 'i1', number) for number in range(3)]
+    case.assertEqual([200] * 3, [response.status for response in responses])
     case.assertLess(site.timers.now() - began, 1.0)
 
 
@@ -59,8 +59,8 @@
     await asyncio.sleep(2.0)
     for number in range(3, 30):
         await _turn(site, 'i2', number)
-    answers = [await _turn(site, 'i3', number) for number in range(30, 33)]
-    case.assertEqual([402] * 3, [answer.status for answer in answers])
+    responses = [await _turn(site, 'i3', number) for number in range(30, 33)]
+    case.assertEqual([402] * 3, [response.status for response in responses])
     runs = sum(len(site.list_runs(f'a{n}')) for n in range(33))
     case.assertLessEqual(runs * MAX_TOKENS, 800 + MAX_TOKENS)
 
@@ -83,8 +83,8 @@
     await _stop_store(site, store_module.Mode.SERVE)
     site.store.response_delay = 0.35
     began = site.timers.now()
-    answer = await _turn(site, 'i1', 1)
-    case.assertEqual(200, answer.status)
+    response = await _turn(site, 'i1', 1)
+    case.assertEqual(200, response.status)
     case.assertLess(site.timers.now() - began, 0.3)
 
 
@@ -193,8 +193,8 @@
     site.store.mode = store_module.Mode.RESET_CONNECTION
     await asyncio.sleep(1.0)
     other = next(iter(site.instances))
-    answer = await _turn(site, other, number + 1)
-    case.assertIn(answer.status, (402, 503))
+    response = await _turn(site, other, number + 1)
+    case.assertIn(response.status, (402, 503))
     case.assertEqual([], site.list_runs(f'a{number + 1}'))
 
 
@@ -234,8 +234,8 @@
     """A turn that must be saved does not run without the store."""
     await site.start(3)
     await _stop_store(site)
-    answer = await site.turn('i1', 'kept', program='new')
-    case.assertEqual(503, answer.status)
+    response = await site.turn('i1', 'kept', program='new')
+    case.assertEqual(503, response.status)
     case.assertEqual([], site.list_runs('kept'))
 
 
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -59,10 +59,10 @@
     statuses = collections.Counter()
     for number in range(count):
         more = {'program_id': program or f'{instance}-{number}'}
-        answer = await site_fixtures.call_or_error(
+        response = await site_fixtures.call_or_error(
             site, instance, 'order', key=key, **more
         )
-        statuses[getattr(answer, 'status', None)] += 1
+        statuses[getattr(response, 'status', None)] += 1
         await asyncio.sleep(pause)
     return statuses
 
@@ -130,9 +130,9 @@
 async def test_refusal_states_when_to_retry(case, limited_site):
     site = await limited_site()
     await send_all(site, 30)
-    answer = await site.call('i1', 'order', key='red-1')
-    case.assertEqual(429, answer.status)
-    pause = float(answer.headers[b'retry-after'])
+    response = await site.call('i1', 'order', key='red-1')
+    case.assertEqual(429, response.status)
+    pause = float(response.headers[b'retry-after'])
     case.assertTrue(0 < pause <= 1.0, pause)
 
 
@@ -263,9 +263,9 @@
     ]
 
 
-async def _await_all(answers):
+async def _await_all(responses):
     return [
-        await each if asyncio.iscoroutine(each) else each for each in answers
+        await each if asyncio.iscoroutine(each) else each for each in responses
     ]
 
 
@@ -293,12 +293,12 @@
     site = await limited_site()
     site.store.mode = store_module.Mode.UNAVAILABLE
     coordinator = site.instances[rank_coordinators()[0]]
-    answers = await _await_all(_request_admission(coordinator, 8))
-    admitted = sum(answer.refusal_reason is None for answer in answers)
+    responses = await _await_all(_request_admission(coordinator, 8))
+    admitted = sum(response.refusal_reason is None for response in responses)
     case.assertLessEqual(admitted, 3)
     await asyncio.sleep(limit_accounts.SETTLING_SECONDS + 0.1)
-    [answer] = await _await_all(_request_admission(coordinator))
-    case.assertIsNone(answer.refusal_reason)
+    [response] = await _await_all(_request_admission(coordinator))
+    case.assertIsNone(response.refusal_reason)
 
 
 async def test_account_is_saved_after_a_failed_write(case, limited_site):
@@ -342,8 +342,8 @@
     site = await limited_site()
     spent = {'budget': 10, 'max_tokens': 40, 'route': 'plan', 'key': 'red-1'}
     for number in range(60):
-        answer = await site.turn('i1', f't{number}', **spent)
-        case.assertEqual(402, answer.status)
+        response = await site.turn('i1', f't{number}', **spent)
+        case.assertEqual(402, response.status)
         await asyncio.sleep(0.02)
     await asyncio.sleep(0.5)
     statuses = await send(site, 'i2', 30, program='other')
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -34,7 +34,7 @@
         instance._members.leave()
         instance._reservations.is_leaving = True
     await asyncio.sleep(0.5)
-    answers = await asyncio.gather(
+    responses = await asyncio.gather(
         *(
             site.turn(
                 f'i{1 + number % 3}',
@@ -46,7 +46,7 @@
             for number in range(5)
         )
     )
-    case.assertEqual([200] * 5, [answer.status for answer in answers])
+    case.assertEqual([200] * 5, [response.status for response in responses])
 
 
 async def _use_part_of_budget(instance, program):
@@ -57,7 +57,7 @@
 
 
 async def _send_turns(site, program):
-    """Send turns that fit into the rest of the budget; return the answers."""
+    """Send turns that fit into the rest of the budget; return the responses."""
     return [
         await site.turn(
             name,
@@ -87,8 +87,8 @@
         await asyncio.sleep(0.5)
         for instance in leaving:
             await instance._reservations.hand_over()
-    answers = await _send_turns(site, program)
-    case.assertEqual([200] * 3, [answer.status for answer in answers])
+    responses = await _send_turns(site, program)
+    case.assertEqual([200] * 3, [response.status for response in responses])
 
 
 async def test_collected_tokens_are_found_again(case, site):
@@ -103,8 +103,8 @@
     for name in ('i2', 'i4'):
         holders = site.instances[name]._reservations._transfers
         case.assertTrue(await holders.collect(program, deadline))
-    answers = await _send_turns(site, program)
-    case.assertEqual([200] * 3, [answer.status for answer in answers])
+    responses = await _send_turns(site, program)
+    case.assertEqual([200] * 3, [response.status for response in responses])
 
 
 async def test_holder_regarded_as_failed_is_asked(case, site):
@@ -139,13 +139,13 @@
     program = site_fixtures.find_program_with_ranking(*names)
     await site.start(5)
     site_fixtures.kill(site, network, 'i1')
-    answers = await asyncio.gather(
+    responses = await asyncio.gather(
         *(
             site.turn(name, site.make_request_id(), program=program)
             for name in names[1:]
         )
     )
-    case.assertEqual({200}, {answer.status for answer in answers})
+    case.assertEqual({200}, {response.status for response in responses})
     row = msgspec.msgpack.decode(site.store.list_table('budgets')[program])
     case.assertEqual(['i2'], [name for name, _ in row[4]])
 
@@ -165,13 +165,13 @@
     network.dark.clear()
     await asyncio.gather(*(site.add_instance(name) for name in names))
     await asyncio.sleep(0.1)
-    answers = await asyncio.gather(
+    responses = await asyncio.gather(
         *(
             site.turn(name, site.make_request_id(), program='p')
             for name in names
         )
     )
-    case.assertEqual({200}, {answer.status for answer in answers})
+    case.assertEqual({200}, {response.status for response in responses})
     row = msgspec.msgpack.decode(site.store.list_table('budgets')['p'])
     case.assertEqual(
         site_fixtures.rank_coordinators('p', names)[:1],
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -29,8 +29,8 @@
 async def test_unknown_and_missing_keys_are_rejected(case, shop):
     site = await shop()
     for key in ('nobody', None):
-        answer = await site.call('i1', 'look', key=key)
-        case.assertEqual(401, answer.status)
+        response = await site.call('i1', 'look', key=key)
+        case.assertEqual(401, response.status)
     case.assertFalse(
         any(target.executions for target in site.targets.values())
     )
@@ -72,29 +72,29 @@
     site.configure(3, [RED], [route])
     await asyncio.sleep(0.2)
     for key in (None, 'nobody', 'red-1'):
-        answer = await site.call('i1', 'open', key=key)
-        case.assertEqual(200, answer.status)
+        response = await site.call('i1', 'open', key=key)
+        case.assertEqual(200, response.status)
 
 
 async def test_request_with_two_keys_is_rejected(case, shop):
     """Ambiguous credentials must not be resolved to either key."""
     site = await shop()
-    answer = await site.call(
+    response = await site.call(
         'i1',
         'look',
         key='red-1',
         extra_headers=[(b'AUTHORIZATION', b'Bearer blue-1')],
     )
-    case.assertEqual(401, answer.status)
+    case.assertEqual(401, response.status)
 
 
 async def test_turn_of_another_organisation_is_unknown(case, shop):
     site = await shop()
     await site.turn('i1', 'first', key='red-1')
-    answer = await site.turn('i2', 'next', previous='first', key='blue-1')
-    case.assertEqual(404, answer.status)
-    answer = await site.turn('i2', 'next2', previous='first', key='red-2')
-    case.assertEqual(200, answer.status)
+    response = await site.turn('i2', 'next', previous='first', key='blue-1')
+    case.assertEqual(404, response.status)
+    response = await site.turn('i2', 'next2', previous='first', key='red-2')
+    case.assertEqual(200, response.status)
 
 
 async def test_turn_names_are_scoped_by_organisation(case, shop):
@@ -117,11 +117,11 @@
         'route': 'plan',
     }
     for request, key in (('a', 'red-1'), ('b', 'blue-1')):
-        answer = await site.turn('i1', request, key=key, **options)
-        case.assertEqual(200, answer.status)
+        response = await site.turn('i1', request, key=key, **options)
+        case.assertEqual(200, response.status)
     await site_fixtures.wait_for_background_work()
-    answer = await site.turn('i1', 'c', key='red-1', **options)
-    case.assertEqual(402, answer.status)
+    response = await site.turn('i1', 'c', key='red-1', **options)
+    case.assertEqual(402, response.status)
 
 
 async def test_revoked_key_is_rejected_on_open_connection(case, shop):
@@ -129,13 +129,17 @@
     connection = await client.Pool(1.0).open(
         site.instances['i1'].settings.front
     )
-    answer = await site.call('i1', 'look', key='red-1', connection=connection)
-    case.assertEqual(200, answer.status)
+    response = await site.call(
+        'i1', 'look', key='red-1', connection=connection
+    )
+    case.assertEqual(200, response.status)
     site.configure(3, [calls.make_organisation('red', 'red-2'), BLUE])
     await asyncio.sleep(0.2)
     for key, status in (('red-1', 401), ('red-2', 200)):
-        answer = await site.call('i1', 'look', key=key, connection=connection)
-        case.assertEqual(status, answer.status)
+        response = await site.call(
+            'i1', 'look', key=key, connection=connection
+        )
+        case.assertEqual(status, response.status)
     connection.abort()
 
 
--- a/tests/gateway/test_outages.py
+++ b/tests/gateway/test_outages.py
@@ -24,8 +24,8 @@
     )
     await asyncio.sleep(1.2)
     site.store.mode = store_module.Mode.SERVE
-    answer = await task
-    case.assertEqual(200, answer.status)
+    response = await task
+    case.assertEqual(200, response.status)
 
 
 async def test_turn_is_refused_at_once_in_long_outage(case, site):
@@ -35,9 +35,9 @@
     await asyncio.sleep(40.0)
     for number in range(3):
         started_at = site.timers.now()
-        answer = await site.turn('i1', f'a{number}', program=f'p{number}')
-        case.assertEqual(503, answer.status)
-        case.assertGreater(float(answer.headers[b'retry-after']), 0.5)
+        response = await site.turn('i1', f'a{number}', program=f'p{number}')
+        case.assertEqual(503, response.status)
+        case.assertGreater(float(response.headers[b'retry-after']), 0.5)
         case.assertLess(site.timers.now() - started_at, 0.5)
         case.assertEqual([], site.list_runs(f'a{number}'))
 
@@ -60,8 +60,8 @@
     await asyncio.sleep(1.0)
     case.assertFalse(any(task.done() for task in tasks))
     site.store.mode = store_module.Mode.SERVE
-    answers = await asyncio.gather(*tasks)
-    case.assertEqual([200] * 4, [answer.status for answer in answers])
+    responses = await asyncio.gather(*tasks)
+    case.assertEqual([200] * 4, [response.status for response in responses])
 
 
 async def test_turn_that_waited_in_vain_may_retry_at_once(case, site):
@@ -74,10 +74,10 @@
     site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(4.0)
     started_at = site.timers.now()
-    answer = await site.turn('i1', 'a', program='new')
-    case.assertEqual(503, answer.status)
+    response = await site.turn('i1', 'a', program='new')
+    case.assertEqual(503, response.status)
     case.assertLess(site.timers.now() - started_at, 2.0)
-    case.assertLess(float(answer.headers[b'retry-after']), 0.1)
+    case.assertLess(float(response.headers[b'retry-after']), 0.1)
     case.assertEqual([], site.list_runs('a'))
 
 
@@ -94,8 +94,8 @@
     site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(2.5)
     site.store.mode = store_module.Mode.SERVE
-    answer = await task
-    case.assertEqual(200, answer.status)
+    response = await task
+    case.assertEqual(200, response.status)
     case.assertEqual(1, len(site.list_runs('a')))
     case.assertIn('a', site.store.list_table('turns'))
 
@@ -154,8 +154,8 @@
     for name in site.instances:
         await site.turn(name, f'before-{name}', program='old')
     site.store.unavailable_partitions = {partitions.find_partition('new')}
-    answer = await site.turn('i1', 'a', program='new')
-    case.assertEqual(503, answer.status)
+    response = await site.turn('i1', 'a', program='new')
+    case.assertEqual(503, response.status)
     case.assertEqual([], site.list_runs('a'))
     for name in site.instances:
         case.assertEqual([], site.list_events(name, 'budget_on_credit'))
@@ -180,13 +180,13 @@
     site.store.unavailable_partitions = {candidates[0]}
     await site.turn('i1', 'a', b'one')
     site.store.unavailable_partitions = {candidates[1]}
-    answer = await site.turn('i2', 'b', previous='a')
-    case.assertEqual(503, answer.status)
+    response = await site.turn('i2', 'b', previous='a')
+    case.assertEqual(503, response.status)
     site.store.unavailable_partitions = set()
-    answer = await site.turn('i2', 'c', previous='a')
-    case.assertEqual(200, answer.status)
-    answer = await site.turn('i2', 'd', previous='never')
-    case.assertEqual(404, answer.status)
+    response = await site.turn('i2', 'c', previous='a')
+    case.assertEqual(200, response.status)
+    response = await site.turn('i2', 'd', previous='never')
+    case.assertEqual(404, response.status)
 
 
 async def test_recovery_of_unresponsive_store_is_detected_quickly(case, site):
@@ -201,8 +201,8 @@
     site.store.mode = store_module.Mode.SERVE
     await asyncio.sleep(0.5)
     for name in ('i1', 'i2'):
-        answer = await site.turn(name, f'a{name}', program=f'p{name}')
-        case.assertEqual(200, answer.status)
+        response = await site.turn(name, f'a{name}', program=f'p{name}')
+        case.assertEqual(200, response.status)
 
 
 async def test_unavailable_store_gets_few_calls(case, site):
@@ -243,8 +243,8 @@
     await asyncio.sleep(3.0)
     started_at = site.timers.now()
     for number in range(12):
-        answer = await site.turn('i1', f'a{number}', program=f'p{number}')
-        case.assertEqual(200, answer.status)
+        response = await site.turn('i1', f'a{number}', program=f'p{number}')
+        case.assertEqual(200, response.status)
     case.assertLess(site.timers.now() - started_at, 12 * 0.2)
 
 
@@ -266,9 +266,9 @@
     case.assertFalse(site.instances['i1'].is_ready)
     case.assertTrue(site.instances['i2'].is_ready)
     started_at = site.timers.now()
-    answer = await site.turn('i1', 'a', program='new')
-    case.assertEqual(503, answer.status)
-    case.assertEqual(b'close', answer.headers[b'connection'])
+    response = await site.turn('i1', 'a', program='new')
+    case.assertEqual(503, response.status)
+    case.assertEqual(b'close', response.headers[b'connection'])
     case.assertLess(site.timers.now() - started_at, 0.3)
     case.assertEqual(200, (await site.call('i1', 'order')).status)
 
@@ -278,8 +278,8 @@
     await site.start()
     site.store.response_delay = 0.5
     site.store.calls.clear()
-    answer = await site.turn('i1', 'a', program='new')
-    case.assertEqual(200, answer.status)
+    response = await site.turn('i1', 'a', program='new')
+    case.assertEqual(200, response.status)
     case.assertLess(site.store.calls['rows-tx'], 8)
 
 
--- a/tests/gateway/test_stranded_grants.py
+++ b/tests/gateway/test_stranded_grants.py
@@ -33,10 +33,10 @@
 async def _kill_all(site, network):
     """Kill all instances after a turn that is saved."""
     await site.start(1)
-    answer = await site.turn('i1', 'before', program='old')
+    response = await site.turn('i1', 'before', program='old')
     site_fixtures.kill(site, network, 'i1')
     await asyncio.sleep(1.0)
-    return answer
+    return response
 
 
 async def _set_engine_states(site, are_draining):
@@ -62,17 +62,17 @@
     await _set_engine_states(site, are_draining=True)
     await site.add_instance('i2')
     await asyncio.sleep(1.0)
-    answer = await _turn(site, 'i2', 'a1', program)
-    case.assertEqual(503, answer.status)
+    response = await _turn(site, 'i2', 'a1', program)
+    case.assertEqual(503, response.status)
     for number, joining in enumerate((('i3', 'i4'), ('i5', 'i6')), 2):
         for name in joining:
             await site.add_instance(name)
         await asyncio.sleep(2.0)
-        answer = await _turn(site, joining[0], f'a{number}', program)
-        case.assertEqual(503, answer.status)
+        response = await _turn(site, joining[0], f'a{number}', program)
+        case.assertEqual(503, response.status)
     await _set_engine_states(site, are_draining=False)
-    answer = await _turn(site, 'i5', 'a4', program)
-    case.assertEqual(200, answer.status)
+    response = await _turn(site, 'i5', 'a4', program)
+    case.assertEqual(200, response.status)
 
 
 async def test_saved_program_is_not_charged_for_credit(case, site, network):
@@ -88,8 +88,8 @@
     await asyncio.sleep(2.0)
     site.store.response_delay = 0.004
     await _set_engine_states(site, are_draining=True)
-    answer = await _turn(site, 'i2', 'a1', program)
-    case.assertEqual(503, answer.status)
+    response = await _turn(site, 'i2', 'a1', program)
+    case.assertEqual(503, response.status)
     # The tokens of the first coordinator are lost with it.
     site.store.response_delay = 0.2
     await site.add_instance('i3')
@@ -98,8 +98,8 @@
     await asyncio.sleep(2.0)
     site.store.response_delay = 0.004
     await _set_engine_states(site, are_draining=False)
-    answer = await _turn(site, 'i3', 'a2', program)
-    case.assertEqual(200, answer.status)
+    response = await _turn(site, 'i3', 'a2', program)
+    case.assertEqual(200, response.status)
 
 
 async def test_abandoned_reservation_is_settled(case, site):
@@ -122,10 +122,10 @@
     task.cancel()
     await asyncio.sleep(2.0)
     site.store.response_delay = 0.004
-    answer = await site.turn(
+    response = await site.turn(
         other, 'a1', program=program, budget=MAX_TOKENS, max_tokens=MAX_TOKENS
     )
-    case.assertEqual(200, answer.status)
+    case.assertEqual(200, response.status)
 
 
 async def test_grant_of_a_cancelled_caller_is_not_lost(case, site):
@@ -147,10 +147,10 @@
     case.assertFalse(task.done())
     task.cancel()
     await asyncio.sleep(2.0)
-    answer = await site.turn(
+    response = await site.turn(
         'i1', 'a1', program='new', budget=MAX_TOKENS, max_tokens=MAX_TOKENS
     )
-    case.assertEqual(200, answer.status)
+    case.assertEqual(200, response.status)
 
 
 async def test_budget_is_not_spent_while_a_holder_is_unresponsive(case, site):
@@ -162,10 +162,10 @@
     program = site_fixtures.find_program_with_ranking('i2', 'i1')
     await site.start(2)
     await _set_engine_states(site, are_draining=True)
-    answer = await site.turn(
+    response = await site.turn(
         'i2', 'a1', program=program, budget=BUDGET, max_tokens=MAX_TOKENS
     )
-    case.assertEqual(503, answer.status)
+    case.assertEqual(503, response.status)
     sender = site.instances['i2']._sender
     receive = sender._receive
 
@@ -178,15 +178,15 @@
     request = peer_messages.Reserve(program, BUDGET, 'under-way', MAX_TOKENS)
     await requesting_reservations.reserve(request, site.timers.now() + 1.0)
     await _set_engine_states(site, are_draining=False)
-    answer = await site.turn(
+    response = await site.turn(
         'i1', 'a2', program=program, budget=BUDGET, max_tokens=MAX_TOKENS
     )
-    case.assertEqual(503, answer.status)
+    case.assertEqual(503, response.status)
     sender._receive = receive
-    answer = await site.turn(
+    response = await site.turn(
         'i1', 'a3', program=program, budget=BUDGET, max_tokens=MAX_TOKENS
     )
-    case.assertEqual(200, answer.status)
+    case.assertEqual(200, response.status)
 
 
 async def test_turn_waits_for_reserved_tokens(case, site):
@@ -196,7 +196,7 @@
     the tokens that they generate.
     """
     await site.start(2)
-    answers = await asyncio.gather(
+    responses = await asyncio.gather(
         *(
             site.turn(
                 'i1',
@@ -208,7 +208,7 @@
             for number in range(2)
         )
     )
-    case.assertEqual([200, 200], [answer.status for answer in answers])
+    case.assertEqual([200, 200], [response.status for response in responses])
 
 
 async def test_leaving_instances_share_their_tokens(case, site):
@@ -224,14 +224,14 @@
     await asyncio.sleep(0.5)
     statuses = []
     for number, name in enumerate(('i1', 'i2', 'i3', 'i3')):
-        answer = await site.turn(
+        response = await site.turn(
             name,
             f'a{number}',
             program='new',
             budget=400,
             max_tokens=MAX_TOKENS,
         )
-        statuses.append(answer.status)
+        statuses.append(response.status)
         await site_fixtures.wait_for_background_work()
     case.assertEqual([200] * 4, statuses)
 
@@ -383,7 +383,7 @@
         peer_messages.Reserve(program, MAX_TOKENS, turn, MAX_TOKENS)
         for turn in ('p', 'q')
     ]
-    answers = await asyncio.gather(
+    responses = await asyncio.gather(
         *(
             each._reserve_from_store(request, deadline)
             for each, request in zip(reservations, requests, strict=True)
@@ -392,7 +392,7 @@
     )
     case.assertLess(site.timers.now(), deadline - 2.0)
     case.assertLess(site.instances['i1']._peers._last_number - calls, 30)
-    granted = answers.count(ledger_module.Outcome.GRANTED)
+    granted = responses.count(ledger_module.Outcome.GRANTED)
     case.assertLessEqual(granted, 1)
 
 
--- a/tests/gateway/test_sweeping.py
+++ b/tests/gateway/test_sweeping.py
@@ -24,8 +24,8 @@
     await site.start()
     await site.turn('i1', 'a')
     await asyncio.sleep(60.0)
-    answer = await site.turn('i2', 'b', previous='a')
-    case.assertEqual(200, answer.status)
+    response = await site.turn('i2', 'b', previous='a')
+    case.assertEqual(200, response.status)
 
 
 load_tests = fixtures.adapt(__name__, [site_fixtures])
--- a/tests/gateway/test_table_sync.py
+++ b/tests/gateway/test_table_sync.py
@@ -36,8 +36,8 @@
     _configure(site, 2, [*site_module.ROUTES, route])
     await asyncio.sleep(0.1)
     for name in ('i1', 'i2'):
-        answer = await site.call(name, 'new', method=b'GET')
-        case.assertEqual(200, answer.status)
+        response = await site.call(name, 'new', method=b'GET')
+        case.assertEqual(200, response.status)
 
 
 async def test_older_configuration_is_ignored(case, site):
@@ -249,9 +249,9 @@
     await asyncio.sleep(0.5)
     case.assertEqual(['10.1.0.1:8149'], await _resolve(site, 'i1'))
     case.assertEqual(['10.1.0.1:8149'], await _resolve(site, 'i2'))
-    answer = await site.call('i2', 'order')
-    case.assertEqual(200, answer.status)
-    case.assertEqual(b'close', answer.headers[b'connection'])
+    response = await site.call('i2', 'order')
+    case.assertEqual(200, response.status)
+    case.assertEqual(b'close', response.headers[b'connection'])
     await task
     case.assertLess(site.timers.now() - began, 8.0)
 
--- a/tests/gateway/test_target_health.py
+++ b/tests/gateway/test_target_health.py
@@ -14,8 +14,8 @@
     statuses = []
     for _ in range(rounds):
         for number in range(1, INSTANCES + 1):
-            answer = await site.call(f'i{number}', 'order', b'oak')
-            statuses.append(answer.status)
+            response = await site.call(f'i{number}', 'order', b'oak')
+            statuses.append(response.status)
             await asyncio.sleep(0.02)
     return statuses
 
--- a/tests/gateway/test_turns.py
+++ b/tests/gateway/test_turns.py
@@ -20,9 +20,9 @@
 
 async def test_turn_streams_events_of_target(case, site):
     await site.start()
-    answer = await site.turn('i1', 'a')
-    case.assertEqual(200, answer.status)
-    case.assertIn(b'id: 4\ndata: a:4\n\n', answer.body)
+    response = await site.turn('i1', 'a')
+    case.assertEqual(200, response.status)
+    case.assertIn(b'id: 4\ndata: a:4\n\n', response.body)
     [run] = site.list_runs('a')
     case.assertEqual(b'hello', run.body)
 
@@ -67,17 +67,17 @@
     for number in range(6):
         await site.turn('i1', f'a{number}', b'old', program=f'p{number}')
     for number in range(6):
-        answer = await site.turn(
+        response = await site.turn(
             'i2', f'b{number}', b'new', program=f'q{number}',
             previous=f'a{number}',
         )  # fmt: skip
-        case.assertEqual(200, answer.status)
+        case.assertEqual(200, response.status)
 
 
 async def test_unknown_turn_returns_404_and_does_not_run(case, site):
     await site.start()
-    answer = await site.turn('i1', 'a', previous='nowhere')
-    case.assertEqual(404, answer.status)
+    response = await site.turn('i1', 'a', previous='nowhere')
+    case.assertEqual(404, response.status)
     case.assertEqual([], site.list_runs('a'))
 
 
@@ -85,9 +85,9 @@
     await site.start()
     await site.turn('i1', 'a')
     site.store.mode = store_module.Mode.UNAVAILABLE
-    answer = await site.turn('i2', 'b', previous='a')
-    case.assertEqual(503, answer.status)
-    case.assertIn(b'retry-after', answer.headers)
+    response = await site.turn('i2', 'b', previous='a')
+    case.assertEqual(503, response.status)
+    case.assertIn(b'retry-after', response.headers)
     case.assertEqual([], site.list_runs('b'))
 
 
@@ -103,8 +103,8 @@
     while 'a' not in site.store.list_table('turns'):
         case.assertFalse(task.done())
         await asyncio.sleep(0.01)
-    answer = await task
-    case.assertEqual(200, answer.status)
+    response = await task
+    case.assertEqual(200, response.status)
 
 
 async def test_lost_response_of_store_does_not_lose_turn(case, site):
@@ -115,8 +115,8 @@
     await site.start()
     await site.turn('i1', 'warm')
     site.store.lost_replies = 1
-    answer = await site.turn('i1', 'a', previous='warm')
-    case.assertEqual(200, answer.status)
+    response = await site.turn('i1', 'a', previous='warm')
+    case.assertEqual(200, response.status)
     case.assertIn('a', site.store.list_table('turns'))
 
 
@@ -126,13 +126,13 @@
     Each turn reserves and uses 40 tokens; the budget of 100 allows two.
     """
     await site.start(3)
-    answers = await asyncio.gather(
+    responses = await asyncio.gather(
         *(
             site.turn(f'i{1 + n % 3}', f'a{n}', route='plan', budget=100)
             for n in range(6)
         )
     )
-    statuses = sorted(answer.status for answer in answers)
+    statuses = sorted(response.status for response in responses)
     case.assertEqual([200, 200, 402, 402, 402, 402], statuses)
     ran = sum(len(site.list_runs(f'a{n}')) for n in range(6))
     case.assertEqual(2, ran)
@@ -142,10 +142,10 @@
     await site.start()
     statuses = []
     for number in range(5):
-        answer = await site.turn(
+        response = await site.turn(
             'i1', f'a{number}', route='plan', budget=200, max_tokens=100
         )
-        statuses.append(answer.status)
+        statuses.append(response.status)
         await site_fixtures.wait_for_background_work()
     # Each turn uses 40 of its 100 reserved tokens.
     case.assertEqual([200, 200, 200, 402, 402], statuses)
@@ -167,8 +167,10 @@
     await asyncio.sleep(4.0)
     tokens = 120
     for number in range(12):
-        answer = await site.turn(other, f'b{number}', route='plan', budget=400)
-        tokens += 40 if answer.status == 200 else 0
+        response = await site.turn(
+            other, f'b{number}', route='plan', budget=400
+        )
+        tokens += 40 if response.status == 200 else 0
         await site_fixtures.wait_for_background_work()
     case.assertLessEqual(tokens, 400)
     case.assertGreater(tokens, 200)
@@ -193,9 +195,9 @@
         listener.close()
     await asyncio.sleep(0.5)
     site.store.put('servers', 'm1', None)
-    answer = await task
+    response = await task
     case.assertEqual(1, len(site.list_runs('a')))
-    case.assertNotIn(answer.status, (402, 408, 421, 429, 503))
+    case.assertNotIn(response.status, (402, 408, 421, 429, 503))
 
 
 async def test_small_budget_survives_failure_of_coordinator(
@@ -207,10 +209,10 @@
     still run, and the program exceeds its budget by at most one turn.
     """
     await site.start(3)
-    answer = await site.turn(
+    response = await site.turn(
         'i1', 'a0', route='plan', budget=160, max_tokens=100, program='small'
     )
-    case.assertEqual(200, answer.status)
+    case.assertEqual(200, response.status)
     members = [rendezvous.Peer(name, '') for name in sorted(site.instances)]
     coordinator = rendezvous.find_coordinator('small', members).instance
     site_fixtures.kill(site, network, coordinator)
@@ -218,11 +220,11 @@
     other = next(iter(site.instances))
     statuses = []
     for number in range(1, 8):
-        answer = await site.turn(
+        response = await site.turn(
             other, f'a{number}', route='plan', budget=160, max_tokens=100,
             program='small',
         )  # fmt: skip
-        statuses.append(answer.status)
+        statuses.append(response.status)
     case.assertEqual(200, statuses[0])
     runs = sum(len(site.list_runs(f'a{n}')) for n in range(8))
     case.assertLessEqual(runs * 40, 160 + 100)
@@ -247,10 +249,10 @@
     await site.instances['i2'].stop()
     await site.instances['i3'].stop()
     for number in range(6):
-        answer = await site.turn(
+        response = await site.turn(
             'i1', f'b{number}', route='plan', program=f'p{number}', budget=800
         )
-        case.assertEqual(200, answer.status)
+        case.assertEqual(200, response.status)
 
 
 async def test_new_coordinator_takes_over_unused_tokens(case, site):
@@ -269,10 +271,10 @@
     await site.add_instance('i2')
     await asyncio.sleep(2.0)
     for name in programs:
-        answer = await site.turn(
+        response = await site.turn(
             'i2', f'b{name}', route='plan', program=name, budget=80
         )
-        case.assertEqual(200, answer.status)
+        case.assertEqual(200, response.status)
 
 
 async def test_repeated_transfer_counts_once(case, site):
@@ -298,8 +300,8 @@
     site.store.mode = store_module.Mode.RESET_CONNECTION
     await asyncio.sleep(1.0)
     for number in range(3):
-        answer = await site.turn('i2', f'b{number}', route='plan')
-        case.assertEqual(200, answer.status)
+        response = await site.turn('i2', f'b{number}', route='plan')
+        case.assertEqual(200, response.status)
 
 
 async def test_new_program_is_refused_while_store_is_unavailable(case, site):
@@ -315,9 +317,9 @@
     site.store.mode = store_module.Mode.UNAVAILABLE
     await asyncio.sleep(1.0)
     started_at = site.timers.now()
-    answer = await site.turn('i1', 'a', route='plan', program='new')
-    case.assertEqual(503, answer.status)
-    case.assertIn(b'retry-after', answer.headers)
+    response = await site.turn('i1', 'a', route='plan', program='new')
+    case.assertEqual(503, response.status)
+    case.assertIn(b'retry-after', response.headers)
     case.assertEqual([], site.list_runs('a'))
     case.assertLess(site.timers.now() - started_at, 3.0)
 
@@ -330,13 +332,15 @@
     """
     await site.start()
     site.store.late_writes = 1
-    answer = await site.turn('i1', 'a', route='plan', budget=100)
-    case.assertEqual(200, answer.status)
+    response = await site.turn('i1', 'a', route='plan', budget=100)
+    case.assertEqual(200, response.status)
     await asyncio.sleep(3.0)
     statuses = []
     for number in range(4):
-        answer = await site.turn('i1', f'b{number}', route='plan', budget=100)
-        statuses.append(answer.status)
+        response = await site.turn(
+            'i1', f'b{number}', route='plan', budget=100
+        )
+        statuses.append(response.status)
         await site_fixtures.wait_for_background_work()
     case.assertEqual([200, 402, 402, 402], statuses)
 
@@ -345,10 +349,10 @@
     await site.start()
     for target in site.targets.values():
         target.faults.append(targets.Fault.TRUNCATE_ANSWER)
-    answer = await site_fixtures.call_or_error(
+    response = await site_fixtures.call_or_error(
         site, 'i1', 'chat', request='a', program_id='p1', session_id='s'
     )
-    case.assertIsInstance(answer, Exception)
+    case.assertIsInstance(response, Exception)
     case.assertEqual(1, len(site.list_runs('a')))
     case.assertNotIn('a', site.store.list_table('turns'))
 
@@ -363,11 +367,11 @@
     site.store.put('servers', 'm2', None)
     site.targets['m1'].faults.append(targets.Fault.TRUNCATE_ANSWER)
     await asyncio.sleep(0.1)
-    answer = await site.turn('i1', 'a', route='plan')
+    response = await site.turn('i1', 'a', route='plan')
     expected = b''.join(
         b'id: %d\ndata: a:%d\n\n' % (n, n) for n in (1, 2, 3, 4)
     )
-    case.assertEqual(expected, answer.body)
+    case.assertEqual(expected, response.body)
     runs = site.list_runs('a')
     case.assertEqual(2, len(runs))
     case.assertEqual(b'2', runs[1].headers[b'last-event-id'])
@@ -388,9 +392,9 @@
     task = asyncio.ensure_future(site.turn('i1', 'a', route='plan'))
     await asyncio.sleep(0.2)
     site.store.put('servers', 'm1', None)
-    answer = await task
+    response = await task
     case.assertEqual(1, len(site.list_runs('a')))
-    case.assertEqual(502, answer.status)
+    case.assertEqual(502, response.status)
 
 
 async def test_resumable_stream_stays_at_its_targets(case, site):
@@ -400,8 +404,8 @@
     await asyncio.sleep(0.1)
     for name in ('m1', 'm2'):
         site.targets[name].faults.append(targets.Fault.TRUNCATE_ANSWER)
-    answer = await site.turn('i1', 'a', route='plan')
-    case.assertEqual(200, answer.status)
+    response = await site.turn('i1', 'a', route='plan')
+    case.assertEqual(200, response.status)
     ran_at = [name for name in ('m1', 'm2') if site.targets[name].executions]
     case.assertEqual(1, len(ran_at))
 
--- a/tests/gateway/test_unary.py
+++ b/tests/gateway/test_unary.py
@@ -20,8 +20,8 @@
     """
     await site.start()
     _inject(site, targets.Fault.LOSE_ANSWER, 3)
-    answer = await site.call('i1', 'order', request='a')
-    case.assertEqual(502, answer.status)
+    response = await site.call('i1', 'order', request='a')
+    case.assertEqual(502, response.status)
     case.assertEqual(1, len(site.list_runs('a')))
 
 
@@ -29,9 +29,9 @@
     await site.start()
     site.targets['t1'].faults.append(targets.Fault.SHED)
     site.targets['t2'].faults.append(targets.Fault.SHED)
-    answer = await site.call('i1', 'order', b'oak', request='a')
-    case.assertEqual(200, answer.status)
-    case.assertEqual(b'done oak', answer.body)
+    response = await site.call('i1', 'order', b'oak', request='a')
+    case.assertEqual(200, response.status)
+    case.assertEqual(b'done oak', response.body)
     case.assertEqual(1, len(site.list_runs('a')))
 
 
@@ -40,11 +40,11 @@
     site.targets['t1'].faults.extend(
         [targets.Fault.LOSE_ANSWER, targets.Fault.GARBAGE]
     )
-    answers = [
+    responses = [
         await site.call('i1', 'look', method=b'GET', request=f'a{n}')
         for n in range(8)
     ]
-    case.assertEqual({200}, {answer.status for answer in answers})
+    case.assertEqual({200}, {response.status for response in responses})
     case.assertGreaterEqual(len(site.targets['t1'].executions), 1)
 
 
@@ -55,23 +55,23 @@
     """
     await site.start()
     _inject(site, targets.Fault.EXTRA_ANSWER)
-    answer = await site.call('i1', 'order', b'oak', request='a')
-    case.assertEqual(b'done oak', answer.body)
+    response = await site.call('i1', 'order', b'oak', request='a')
+    case.assertEqual(b'done oak', response.body)
 
 
 async def test_truncated_response_is_not_forwarded(case, site):
     await site.start()
     _inject(site, targets.Fault.TRUNCATE_ANSWER, 3)
-    answer = await site.call('i1', 'order', request='a')
-    case.assertEqual(502, answer.status)
+    response = await site.call('i1', 'order', request='a')
+    case.assertEqual(502, response.status)
 
 
 async def test_error_of_target_is_forwarded_unchanged(case, site):
     await site.start()
     _inject(site, targets.Fault.ERROR)
-    answer = await site.call('i1', 'order', request='a')
-    case.assertEqual((500, b'failed'), (answer.status, answer.body))
-    case.assertIn(b'x-vanillayoke-server-stamp', answer.headers)
+    response = await site.call('i1', 'order', request='a')
+    case.assertEqual((500, b'failed'), (response.status, response.body))
+    case.assertIn(b'x-vanillayoke-server-stamp', response.headers)
 
 
 async def test_reserved_header_fields_are_removed(case, site):
@@ -103,10 +103,10 @@
     """
     await site.start()
     site.targets['t1'].name = 'somebody-else'
-    answers = [
+    responses = [
         await site.call('i1', 'order', request=f'a{n}') for n in range(4)
     ]
-    case.assertEqual({200}, {answer.status for answer in answers})
+    case.assertEqual({200}, {response.status for response in responses})
     case.assertEqual([], site.targets['t1'].executions)
 
 
@@ -114,8 +114,8 @@
     await site.start()
     _inject(site, targets.Fault.UNRESPONSIVE, 3)
     started_at = site.timers.now()
-    answer = await site.call('i1', 'order', request='a')
-    case.assertEqual(504, answer.status)
+    response = await site.call('i1', 'order', request='a')
+    case.assertEqual(504, response.status)
     case.assertLess(site.timers.now() - started_at, 3.1)
     case.assertEqual(1, len(site.list_runs('a')))
 
@@ -128,8 +128,8 @@
     await site.start()
     _inject(site, targets.Fault.UNRESPONSIVE, 1)
     started_at = site.timers.now()
-    answer = await site.call('i1', 'look', method=b'GET')
-    case.assertEqual(502, answer.status)
+    response = await site.call('i1', 'look', method=b'GET')
+    case.assertEqual(502, response.status)
     case.assertLess(site.timers.now() - started_at, 1.5)
 
 
@@ -139,11 +139,11 @@
     site.targets['t1'].faults.extend([targets.Fault.UNRESPONSIVE] * 20)
     statuses = []
     for _ in range(8):
-        answer = await site.call('i1', 'look', method=b'GET')
-        statuses.append(answer.status)
-        if answer.status != 200:
-            answer = await site.call('i1', 'look', method=b'GET')
-            case.assertEqual(200, answer.status)
+        response = await site.call('i1', 'look', method=b'GET')
+        statuses.append(response.status)
+        if response.status != 200:
+            response = await site.call('i1', 'look', method=b'GET')
+            case.assertEqual(200, response.status)
     case.assertIn(502, statuses)
 
 
@@ -159,21 +159,21 @@
     for name in ('t1', 't2'):
         site.targets[name].service_time = 2.0
     for _ in range(4):
-        answer = await site.call('i1', 'brief', method=b'GET')
-        case.assertEqual(504, answer.status)
+        response = await site.call('i1', 'brief', method=b'GET')
+        case.assertEqual(504, response.status)
     case.assertEqual([], site.list_events('i1', 'target_sick'))
 
 
 async def test_path_without_route_returns_404(case, site):
     await site.start()
-    answer = await site.call('i1', 'nowhere')
-    case.assertEqual(404, answer.status)
+    response = await site.call('i1', 'nowhere')
+    case.assertEqual(404, response.status)
 
 
 async def test_instance_without_configuration_returns_503(case, site):
     await site.add_instance('i1')
-    answer = await site.call('i1', 'order')
-    case.assertEqual(503, answer.status)
+    response = await site.call('i1', 'order')
+    case.assertEqual(503, response.status)
 
 
 async def test_connection_is_used_again(case, site, network):
