--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -1,5 +1,8 @@
 """Tests of limits across all instances of a site."""
 
+import asyncio
+import collections
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import limit_accounts
 from vanillayoke.gateway import limits as limits_module
@@ -9,8 +12,6 @@
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
-import asyncio
-import collections
 
 WINDOW = 5.0
 RATE = 4
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -4,14 +4,16 @@
 at whichever instance holds them, and a budget must not be split.
 """
 
+import asyncio
+
+import msgspec
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import ledger as ledger_module
 from vanillayoke.gateway import messages
 from vanillayoke.gateway import peer_messages
 from vanillayoke.gateway import reservations as reservations_module
 from vanillayoke.testing import fixtures
-import asyncio
-import msgspec
 
 BUDGET = 175
 MAX_TOKENS = 100
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -1,12 +1,13 @@
 """Tests of organisations: authentication by keys, and isolation."""
 
+import asyncio
+
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import messages
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
 from vanillayoke.transport import client
-import asyncio
 
 RED = calls.make_organisation('red', 'red-1', 'red-2')
 BLUE = calls.make_organisation('blue', 'blue-1')
--- a/tests/gateway/test_outages.py
+++ b/tests/gateway/test_outages.py
@@ -1,5 +1,7 @@
 """Tests with a store that is unavailable or slow, entirely or in part."""
 
+import asyncio
+
 from tests.gateway import site as site_module
 from tests.gateway import site_fixtures
 from vanillayoke.gateway import histories
@@ -7,7 +9,7 @@
 from vanillayoke.standins import calls
 from vanillayoke.standins import store as store_module
 from vanillayoke.testing import fixtures
-import asyncio
+
 
 async def test_turn_waits_for_store_to_recover(case, site):
     """A program that starts in a short outage waits until it ends.
--- a/tests/gateway/test_table_sync.py
+++ b/tests/gateway/test_table_sync.py
@@ -1,5 +1,9 @@
 """Tests of how instances follow the tables of the store, start and stop."""
 
+import asyncio
+
+import msgspec
+
 from tests.gateway import site as site_module
 from tests.gateway import site_fixtures
 from vanillayoke.standins import calls
@@ -7,8 +11,7 @@
 from vanillayoke.standins import targets
 from vanillayoke.testing import fixtures
 from vanillayoke.transport import client
-import asyncio
-import msgspec
+
 
 async def _resolve(site, instance, zone='z1'):
     address = site.instances[instance].settings.directory
--- a/tests/gateway/test_target_health.py
+++ b/tests/gateway/test_target_health.py
@@ -1,9 +1,10 @@
 """Tests of the shared detection of servers that fail their requests."""
 
+import asyncio
+
 from tests.gateway import site_fixtures
 from vanillayoke.standins import targets
 from vanillayoke.testing import fixtures
-import asyncio
 
 INSTANCES = 8
 
--- a/tests/gateway/test_unary.py
+++ b/tests/gateway/test_unary.py
@@ -1,10 +1,12 @@
 """Tests of requests with a single response: execution and retries."""
 
+import asyncio
+
 from tests.gateway import site_fixtures
 from vanillayoke.standins import calls
 from vanillayoke.standins import targets
 from vanillayoke.testing import fixtures
-import asyncio
+
 
 def _inject(site, fault, times=1):
     for name in ('t1', 't2'):
