--- a/libs/gateway/vanillayoke/gateway/store_waiting.py
+++ b/libs/gateway/vanillayoke/gateway/store_waiting.py
@@ -32,7 +32,7 @@
         estimate_service_time: typing.Callable[[dispatch.Progress], float],
     ) -> None:
         self._context = context
-        self._estimate_service_time = estimate_service_time
+        self._estimate_typical_time = estimate_service_time
 
     async def wait(
         self, progress: dispatch.Progress, error: Exception
@@ -126,4 +126,4 @@
         limit = MAX_SERVICE_TIME_RATIO * (
             progress.deadline - progress.started_at
         )
-        return min(limit, self._estimate_service_time(progress))
+        return min(limit, self._estimate_typical_time(progress))
--- a/tests/gateway/test_many_at_once.py
+++ b/tests/gateway/test_many_at_once.py
@@ -57,7 +57,7 @@
 
 
 async def _send_turns(site, program):
-    """Send turns that fit into the rest of the budget; return the responses."""
+    """Send turns that fit into the rest of the budget; return responses."""
     return [
         await site.turn(
             name,
