--- a/libs/gateway/vanillayoke/gateway/limit_accounts.py
+++ b/libs/gateway/vanillayoke/gateway/limit_accounts.py
@@ -253,11 +253,11 @@
 
 
 def _describe(refusal: quotas.Refused, account: quotas.Account) -> str:
-    kind = 'new program' if refusal.is_new else 'running program'
+    kind = 'a new program' if refusal.is_new else 'a request'
     return (
-        f'{kind}: {refusal.used} of {refusal.limit:.0f} requests used,'
-        f' {refusal.expected} expected, {account.reserve:.0f} reserved;'
-        f' limit of configuration version {account.version}'
+        f'{kind}: {refusal.used} of {refusal.limit:.0f} used,'
+        f' {refusal.expected} expected, {account.reserve:.0f} kept back;'
+        f' limit of version {account.version}'
     )
 
 
