--- a/libs/scheduling/vanillayoke/scheduling/quotas.py
+++ b/libs/scheduling/vanillayoke/scheduling/quotas.py
@@ -303,7 +303,7 @@
         return self._request_start(reporter, request, used, available, now)
 
     def is_near_limit(self, now: float) -> bool:
-        """Return whether usage may soon reach the limit.
+        """Return whether the expected usage is close to the limit.
 
         If so, each request has to be admitted by the coordinator. Otherwise
         instances admit requests and report them afterwards.
